--- a/common/src/main/java/mastdrift/common/Clock.java
+++ b/common/src/main/java/mastdrift/common/Clock.java
@@ -5,20 +5,20 @@
 public interface Clock {
 
     /** Microseconds that go on evenly and are never set; they say nothing across processes. */
-    long monotonic();
+    long monotonicMicros();
 
     /** Milliseconds of Unix time; may jump. */
-    long wall();
+    long wallMillis();
 
     /** The machine's own. */
     Clock SYSTEM = new Clock() {
         @Override
-        public long monotonic() {
+        public long monotonicMicros() {
             return System.nanoTime() / 1000;
         }
 
         @Override
-        public long wall() {
+        public long wallMillis() {
             return System.currentTimeMillis();
         }
     };
--- a/common/src/main/java/mastdrift/common/Disk.java
+++ b/common/src/main/java/mastdrift/common/Disk.java
@@ -23,7 +23,7 @@
                 .putLong(sum(content)).put(content).flip();
         try (FileChannel to = FileChannel.open(beside, StandardOpenOption.CREATE, StandardOpenOption.WRITE,
                 StandardOpenOption.TRUNCATE_EXISTING)) {
-            put(to, all);
+            writeFully(to, all);
             to.force(true);
         }
         Files.move(beside, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
@@ -34,7 +34,7 @@
     }
 
     /** Where a full or failing disk shows. */
-    protected void put(FileChannel to, ByteBuffer all) throws IOException {
+    protected void writeFully(FileChannel to, ByteBuffer all) throws IOException {
         while (all.hasRemaining()) {
             to.write(all);
         }
--- a/common/src/main/java/mastdrift/common/Http.java
+++ b/common/src/main/java/mastdrift/common/HttpServer.java
@@ -37,7 +37,7 @@
 import java.util.List;
 
 /** Plain HTTP/1.1 calls for our own processes, as operators' calls are: a message each, or a stream of lines. */
-public final class Http implements AutoCloseable {
+public final class HttpServer implements AutoCloseable {
 
     private static final int BODY_MOST = 16 << 20;
     private static final int LOW_WATER = 32 << 10;
@@ -45,13 +45,13 @@
 
     /** What is done with a call, on the connection's event loop: it answers or streams, now or later. */
     public interface Handler {
-        void handle(Call call) throws Exception;
+        void handle(Exchange call) throws Exception;
     }
 
     private final ChannelGroup connections = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
     private final Channel server;
 
-    private Http(EventLoopGroup loops, InetSocketAddress at, Handler handler) throws IOException {
+    private HttpServer(EventLoopGroup loops, InetSocketAddress at, Handler handler) throws IOException {
         ChannelFuture bound = new ServerBootstrap().group(loops).channel(NioServerSocketChannel.class)
                 .handler(new AcceptRetry())
                 .option(ChannelOption.SO_BACKLOG, 1024).option(ChannelOption.SO_REUSEADDR, true)
@@ -72,12 +72,12 @@
     }
 
     /** Listens from now on; throws IOException that names an address that can't be listened on. */
-    public static Http listen(EventLoopGroup loops, InetSocketAddress at, Handler handler) throws IOException {
-        return new Http(loops, at, handler);
+    public static HttpServer listen(EventLoopGroup loops, InetSocketAddress at, Handler handler) throws IOException {
+        return new HttpServer(loops, at, handler);
     }
 
     /** Of the form {@code 127.0.0.1:80}, or with a name; throws IllegalArgumentException for anything else. */
-    public static InetSocketAddress address(String text) {
+    public static InetSocketAddress parseAddress(String text) {
         int colon = text.lastIndexOf(':');
         try {
             if (colon > 0) {
@@ -102,7 +102,7 @@
     }
 
     /** One message that has come whole. */
-    public static final class Call {
+    public static final class Exchange {
 
         private final ChannelHandlerContext context;
         private final boolean keep;
@@ -111,7 +111,7 @@
         private final io.netty.handler.codec.http.HttpHeaders headers;
         private final byte[] body;
 
-        Call(ChannelHandlerContext context, FullHttpRequest message) {
+        Exchange(ChannelHandlerContext context, FullHttpRequest message) {
             this.context = context;
             keep = HttpUtil.isKeepAlive(message);
             method = message.method().name();
@@ -130,14 +130,14 @@
         }
 
         /** Null where the call's address has no such part. */
-        public String query(String name) {
+        public String queryParameter(String name) {
             List<String> values = uri.parameters().get(name);
             return values == null ? null : values.get(0);
         }
 
         /** A whole number of the call's address; throws IllegalArgumentException for what is none. */
-        public long number(String name, long otherwise) {
-            String text = query(name);
+        public long queryLong(String name, long otherwise) {
+            String text = queryParameter(name);
             try {
                 return text == null ? otherwise : Long.parseLong(text);
             } catch (NumberFormatException e) {
@@ -159,7 +159,7 @@
         }
 
         /** Headers come as names and values in turn. From any thread, once. */
-        public void answer(int status, String type, String text, String... more) {
+        public void respond(int status, String type, String text, String... more) {
             ByteBuf content = Unpooled.copiedBuffer(text, StandardCharsets.UTF_8);
             FullHttpResponse answer = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status),
                     content);
@@ -174,8 +174,8 @@
             }
         }
 
-        public void json(int status, String text, String... more) {
-            answer(status, "application/json", text, more);
+        public void respondJson(int status, String text, String... more) {
+            respond(status, "application/json", text, more);
         }
 
         private static void add(HttpResponse answer, String... more) {
@@ -185,22 +185,22 @@
         }
 
         /** Begins an answer of lines that stays open. */
-        public Lines lines() {
+        public LineStream startLineStream() {
             HttpResponse answer = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
             answer.headers().set(HttpHeaderNames.CONTENT_TYPE, "application/json");
             HttpUtil.setTransferEncodingChunked(answer, true);
             context.writeAndFlush(answer);
-            return new Lines(context.channel());
+            return new LineStream(context.channel());
         }
     }
 
     /** A line that many are told: encoded once, and kept in memory once until the last of them has it. */
-    public static final class Shared {
+    public static final class SharedLine {
 
         private final ByteBuf content;
 
         /** Whoever makes it lets go of it once nobody new is to be told. */
-        public Shared(String text) {
+        public SharedLine(String text) {
             byte[] bytes = (text + "\n").getBytes(StandardCharsets.UTF_8);
             // Outside the heap: from there each connection would take a copy on its way out.
             content = Unpooled.directBuffer(bytes.length, bytes.length).writeBytes(bytes);
@@ -212,30 +212,30 @@
     }
 
     /** An answer of lines that stays open until one side ends it. */
-    public static final class Lines {
+    public static final class LineStream {
 
         private final Channel channel;
 
-        Lines(Channel channel) {
+        LineStream(Channel channel) {
             this.channel = channel;
         }
 
         /** Whether the reader keeps up: what is written all the same is kept in memory. */
-        public boolean writable() {
+        public boolean isWritable() {
             return channel.isWritable();
         }
 
         /** Bytes that the reader has to take until it keeps up. */
-        public long behind() {
+        public long bytesUntilWritable() {
             return channel.bytesBeforeWritable();
         }
 
-        public void line(String text) {
+        public void writeLine(String text) {
             channel.writeAndFlush(new DefaultHttpContent(Unpooled.copiedBuffer(text + "\n", StandardCharsets.UTF_8)));
         }
 
         /** Of all readers that wait for the same, none has a copy of its own. */
-        public void line(Shared line) {
+        public void writeLine(SharedLine line) {
             channel.writeAndFlush(new DefaultHttpContent(line.content.retainedDuplicate()));
         }
 
@@ -244,11 +244,11 @@
         }
 
         /** Without a proper end. */
-        public void cut() {
+        public void abort() {
             channel.close();
         }
 
-        public void whenEnded(Runnable then) {
+        public void onClose(Runnable then) {
             channel.closeFuture().addListener(ended -> then.run());
         }
     }
@@ -263,15 +263,15 @@
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpRequest message) throws Exception {
-            Call call = new Call(context, message);
+            Exchange call = new Exchange(context, message);
             if (message.decoderResult().isFailure()) {
-                call.json(400, "{\"error\":\"not a call\"}");
+                call.respondJson(400, "{\"error\":\"not a call\"}");
                 return;
             }
             try {
                 handler.handle(call);
             } catch (IllegalArgumentException e) {
-                call.json(400, Json.text(java.util.Map.of("error", e.getMessage())));
+                call.respondJson(400, Json.encode(java.util.Map.of("error", e.getMessage())));
             }
         }
 
--- a/common/src/main/java/mastdrift/common/Json.java
+++ b/common/src/main/java/mastdrift/common/Json.java
@@ -12,7 +12,7 @@
     private Json() { }
 
     /** On one line. */
-    public static String text(Object object) {
+    public static String encode(Object object) {
         try {
             return JSON.std.asString(object);
         } catch (IOException e) {
@@ -21,7 +21,7 @@
     }
 
     /** Throws IllegalArgumentException for what is no JSON object. */
-    public static Map<String, Object> object(byte[] text) {
+    public static Map<String, Object> parse(byte[] text) {
         try {
             return JSON.std.mapFrom(text);
         } catch (JsonProcessingException e) {
@@ -32,7 +32,7 @@
     }
 
     /** Likewise. */
-    public static Map<String, Object> object(String text) {
-        return object(text.getBytes(java.nio.charset.StandardCharsets.UTF_8));
+    public static Map<String, Object> parse(String text) {
+        return parse(text.getBytes(java.nio.charset.StandardCharsets.UTF_8));
     }
 }
--- a/common/src/main/java/mastdrift/common/Follow.java
+++ b/common/src/main/java/mastdrift/common/LineStreamClient.java
@@ -28,7 +28,7 @@
 import java.util.function.Consumer;
 
 /** One call whose answer is lines that come for as long as it stays open. On its event loop. */
-public final class Follow {
+public final class LineStreamClient {
 
     private static final int LINE_MOST = 16 << 20;
 
@@ -37,7 +37,7 @@
     private final Consumer<String> end;
     private boolean ended;
 
-    private Follow(EventLoop loop, InetSocketAddress at, String path, Map<String, String> headers, int dialMillis,
+    private LineStreamClient(EventLoop loop, InetSocketAddress at, String path, Map<String, String> headers, int dialMillis,
             int silenceMillis, Consumer<String> lines, Consumer<String> end) {
         this.lines = lines;
         this.end = end;
@@ -66,14 +66,14 @@
     }
 
     /** Calls; {@code lines} hears each line, the empty ones too, {@code end} once why there will be no more: not answered by
-        200, silent for too long, ended. Neither is called after {@link #stop}. */
-    public static Follow begin(EventLoop loop, InetSocketAddress at, String path, Map<String, String> headers,
+        200, silent for too long, ended. Neither is called after {@link #cancel}. */
+    public static LineStreamClient open(EventLoop loop, InetSocketAddress at, String path, Map<String, String> headers,
             int dialMillis, int silenceMillis, Consumer<String> lines, Consumer<String> end) {
-        return new Follow(loop, at, path, headers, dialMillis, silenceMillis, lines, end);
+        return new LineStreamClient(loop, at, path, headers, dialMillis, silenceMillis, lines, end);
     }
 
     /** Ends it unheard. */
-    public void stop() {
+    public void cancel() {
         ended = true;
         close();
     }
--- a/common/src/main/java/mastdrift/common/TomlFile.java
+++ b/common/src/main/java/mastdrift/common/TomlFile.java
@@ -20,18 +20,18 @@
 public final class TomlFile {
 
     /** All that is wrong with a file, a line each. */
-    public static final class Faults extends Exception {
+    public static final class ValidationException extends Exception {
 
         private static final long serialVersionUID = 1L;
-        private final transient List<String> lines;
+        private final transient List<String> errors;
 
-        Faults(List<String> lines) {
+        ValidationException(List<String> lines) {
             super(String.join(System.lineSeparator(), lines));
-            this.lines = List.copyOf(lines);
+            this.errors = List.copyOf(lines);
         }
 
-        public List<String> lines() {
-            return lines;
+        public List<String> errors() {
+            return errors;
         }
     }
 
@@ -39,32 +39,32 @@
     private final List<String> faults = new ArrayList<>();
     private final TomlTable root;
 
-    private TomlFile(String file, TomlParseResult root) throws Faults {
+    private TomlFile(String file, TomlParseResult root) throws ValidationException {
         this.file = file;
         this.root = root;
         root.errors().forEach(error -> faults.add(file + ":" + error.position().line() + ": " + error.getMessage()));
-        check();
+        throwIfInvalid();
     }
 
     /** Throws Faults for what is no TOML, IOException for a file that can't be read. */
-    public static TomlFile read(Path file) throws Faults, IOException {
+    public static TomlFile read(Path file) throws ValidationException, IOException {
         return new TomlFile(file.toString(), Toml.parse(file));
     }
 
     /** The same for a text. */
-    public static TomlFile parse(String text, String name) throws Faults {
+    public static TomlFile parse(String text, String name) throws ValidationException {
         return new TomlFile(name, Toml.parse(text));
     }
 
     /** What stands before and in all tables; asked for once. */
-    public Section top() {
+    public Section root() {
         return new Section("", root);
     }
 
     /** Throws all faults that were found so far, if any. */
-    public void check() throws Faults {
+    public void throwIfInvalid() throws ValidationException {
         if (!faults.isEmpty()) {
-            throw new Faults(faults);
+            throw new ValidationException(faults);
         }
     }
 
@@ -85,8 +85,8 @@
             return table.get(List.of(key));
         }
 
-        /** What is wrong with that key's value; told with all the rest by {@link #check}. */
-        public void fault(String key, String what) {
+        /** What is wrong with that key's value; told with all the rest by {@link #throwIfInvalid}. */
+        public void addError(String key, String what) {
             TomlPosition at = table.inputPositionOf(List.of(key));
             faults.add(file + ":" + (at == null ? 1 : at.line()) + ": " + path + key + ": " + what);
         }
@@ -95,7 +95,7 @@
         public Section section(String key) {
             Object value = value(key);
             if (value != null && !(value instanceof TomlTable)) {
-                fault(key, "expected a table");
+                addError(key, "expected a table");
             }
             return new Section(path + key + ".", value instanceof TomlTable given ? given : Toml.parse(""));
         }
@@ -108,7 +108,7 @@
                     all.add(new Section(path + key + "[" + i + "].", array.getTable(i)));
                 }
             } else if (value != null) {
-                fault(key, "expected tables, each begun by [[" + key + "]]");
+                addError(key, "expected tables, each begun by [[" + key + "]]");
             }
             return all;
         }
@@ -116,7 +116,7 @@
         private boolean within(String key, double value, double least, double most) {
             boolean within = value >= least && value <= most;
             if (!within) {
-                fault(key, "expected " + shown(least) + " to " + shown(most) + ", not " + shown(value));
+                addError(key, "expected " + shown(least) + " to " + shown(most) + ", not " + shown(value));
             }
             return within;
         }
@@ -132,72 +132,72 @@
                     return new Range(first.doubleValue(), second.doubleValue());
                 }
             } else if (value != null && !(value instanceof Number)) {
-                fault(key, "expected a number or a range [from, to]");
+                addError(key, "expected a number or a range [from, to]");
             }
             return new Range(from, to);
         }
 
-        public double real(String key, double otherwise, double least, double most) {
+        public double number(String key, double otherwise, double least, double most) {
             Object value = value(key);
             if (value instanceof Number number) {
                 return within(key, number.doubleValue(), least, most) ? number.doubleValue() : otherwise;
             }
             if (value != null) {
-                fault(key, "expected a number");
+                addError(key, "expected a number");
             }
             return otherwise;
         }
 
-        public int whole(String key, int otherwise, int least, int most) {
+        public int integer(String key, int otherwise, int least, int most) {
             Object value = value(key);
             if (value instanceof Long number) {
                 return within(key, number, least, most) ? number.intValue() : otherwise;
             }
             if (value != null) {
-                fault(key, "expected a whole number");
+                addError(key, "expected a whole number");
             }
             return otherwise;
         }
 
-        public boolean flag(String key, boolean otherwise) {
+        public boolean bool(String key, boolean otherwise) {
             Object value = value(key);
             if (value != null && !(value instanceof Boolean)) {
-                fault(key, "expected true or false");
+                addError(key, "expected true or false");
             }
             return value instanceof Boolean given ? given : otherwise;
         }
 
-        public String text(String key, String otherwise) {
+        public String name(String key, String otherwise) {
             Object value = value(key);
             if (value != null && (!(value instanceof String text) || text.isBlank() || text.contains(" "))) {
-                fault(key, "expected a name without spaces");
+                addError(key, "expected a name without spaces");
             }
             return value instanceof String given ? given : otherwise;
         }
 
         /** Any text on one line. */
-        public String line(String key, String otherwise) {
+        public String string(String key, String otherwise) {
             Object value = value(key);
             if (value != null && (!(value instanceof String text) || text.isBlank())) {
-                fault(key, "expected a text");
+                addError(key, "expected a text");
             }
             return value instanceof String given ? given : otherwise;
         }
 
-        public List<String> texts(String key, List<String> otherwise) {
+        public List<String> names(String key, List<String> otherwise) {
             Object value = value(key);
             if (value instanceof TomlArray array && !array.isEmpty()
                     && array.toList().stream().allMatch(each -> each instanceof String)) {
                 return array.toList().stream().map(Object::toString).toList();
             }
             if (value != null) {
-                fault(key, "expected a list of names");
+                addError(key, "expected a list of names");
             }
             return otherwise;
         }
 
         /** Null for {@code otherwise}: the key is needed. */
-        public <E extends Enum<E>> E word(String key, Class<E> type, E otherwise) {
+        public <E extends Enum<E>> E enumValue(String key, Class<E> type, E otherwise) {
             Object value = value(key);
             for (E each : type.getEnumConstants()) {
                 if (value instanceof String text && text.equals(each.name().toLowerCase(Locale.ROOT))) {
@@ -205,17 +205,17 @@
                 }
             }
             if (value != null || otherwise == null) {
-                fault(key, "expected one of " + Arrays.stream(type.getEnumConstants())
+                addError(key, "expected one of " + Arrays.stream(type.getEnumConstants())
                         .map(each -> each.name().toLowerCase(Locale.ROOT)).collect(Collectors.joining(", ")));
             }
             return otherwise;
         }
 
         /** After the last key was asked for: any other is a fault. */
-        public void done() {
+        public void rejectUnknownKeys() {
             for (String key : table.keySet()) {
                 if (!known.contains(key)) {
-                    fault(key, "unknown key; known here: " + String.join(", ", known));
+                    addError(key, "unknown key; known here: " + String.join(", ", known));
                 }
             }
         }
--- a/common/src/test/java/mastdrift/common/DiskTest.java
+++ b/common/src/test/java/mastdrift/common/DiskTest.java
@@ -48,9 +48,9 @@
         new Disk().write(file, new byte[] {1});
         Disk full = new Disk() {
             @Override
-            protected void put(FileChannel to, ByteBuffer all) throws IOException {
+            protected void writeFully(FileChannel to, ByteBuffer all) throws IOException {
                 all.limit(all.position() + 5);
-                super.put(to, all);
+                super.writeFully(to, all);
                 throw new IOException("full");
             }
         };
--- a/lab/src/main/java/mastdrift/lab/Brains.java
+++ b/lab/src/main/java/mastdrift/lab/Brains.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import mastdrift.Balance;
+import mastdrift.HeadroomBalancer;
 import mastdrift.Balancer;
 
 /** Hosts the decision modules of one day's gateways. Events are told to an instance as they come; what it asks for is
@@ -33,7 +33,7 @@
 
         @Override
         public Balancer start(long now, int gateway, Balancer.Settings settings, Balancer.Actions actions) {
-            Balancer module = new Balance();
+            Balancer module = new HeadroomBalancer();
             module.start(now, settings, new Deferred(asked, actions));
             return module;
         }
@@ -75,8 +75,8 @@
         }
 
         @Override
-        public void timer(long at, String handle) {
-            asked.add(() -> then.timer(at, handle));
+        public void scheduleTimer(long at, String handle) {
+            asked.add(() -> then.scheduleTimer(at, handle));
         }
 
         @Override
@@ -85,23 +85,23 @@
         }
 
         @Override
-        public void watch(boolean active) {
-            asked.add(() -> then.watch(active));
+        public void watchHostList(boolean active) {
+            asked.add(() -> then.watchHostList(active));
         }
 
         @Override
-        public void fetch() {
-            asked.add(then::fetch);
+        public void fetchHostList() {
+            asked.add(then::fetchHostList);
         }
 
         @Override
-        public void closeIdle(String address) {
-            asked.add(() -> then.closeIdle(address));
+        public void closeIdleConnections(String address) {
+            asked.add(() -> then.closeIdleConnections(address));
         }
 
         @Override
-        public void tell(int peer, byte[] message) {
-            asked.add(() -> then.tell(peer, message));
+        public void sendToPeer(int peer, byte[] message) {
+            asked.add(() -> then.sendToPeer(peer, message));
         }
 
         @Override
--- a/lab/src/main/java/mastdrift/lab/Lab.java
+++ b/lab/src/main/java/mastdrift/lab/Lab.java
@@ -46,7 +46,7 @@
     static int run(String[] args, PrintWriter out, PrintWriter err) {
         return new CommandLine(new Lab()).setOut(out).setErr(err)
                 .setExecutionExceptionHandler((fault, command, parsed) -> {
-                    command.getErr().println(fault instanceof TomlFile.Faults || fault instanceof IOException
+                    command.getErr().println(fault instanceof TomlFile.ValidationException || fault instanceof IOException
                             || fault instanceof IllegalStateException ? fault.getMessage() : fault.toString());
                     return MISUSED;
                 }).execute(args);
@@ -100,7 +100,7 @@
         @Spec(Spec.Target.MIXEE)
         private CommandSpec spec;
 
-        Plan plan() throws TomlFile.Faults, IOException {
+        Plan plan() throws TomlFile.ValidationException, IOException {
             if (threads < 1) {
                 throw new CommandLine.ParameterException(spec.commandLine(), "--threads has to be 1 or more");
             }
--- a/lab/src/main/java/mastdrift/lab/Node.java
+++ b/lab/src/main/java/mastdrift/lab/Node.java
@@ -5,9 +5,9 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import mastdrift.Balancer.Health;
+import mastdrift.Balancer.HostState;
 import mastdrift.Balancer.Host;
-import mastdrift.Balancer.ListForm;
+import mastdrift.Balancer.ListUpdateType;
 import mastdrift.Balancer.LoadReport;
 import mastdrift.Balancer.Outcome;
 import mastdrift.Balancer;
@@ -16,7 +16,7 @@
 final class Node {
 
     /** What it was told last of a host, and since when it knows of that state and that process. */
-    record Told(Health health, long at, long born) { }
+    record Told(HostState health, long at, long born) { }
 
     /** From a start to its end; what belongs to an earlier one is void. */
     final class Life implements Balancer.Actions {
@@ -83,10 +83,10 @@
         }
 
         @Override
-        public void timer(long at, String handle) {
+        public void scheduleTimer(long at, String handle) {
             agenda.at(Math.max(agenda.now() + 1, at), () -> {
                 if (!over) {
-                    module.timer(world.tick(), handle);
+                    module.timerFired(world.tick(), handle);
                 }
             });
         }
@@ -99,21 +99,21 @@
         }
 
         @Override
-        public void watch(boolean active) {
+        public void watchHostList(boolean active) {
             if (!over && active) {
                 world.registry().call(Node.this, true);
             }
         }
 
         @Override
-        public void fetch() {
+        public void fetchHostList() {
             if (!over) {
                 world.registry().call(Node.this, false);
             }
         }
 
         @Override
-        public void closeIdle(String address) {
+        public void closeIdleConnections(String address) {
             Machine to = world.machine(address);
             if (!over && to != null) {
                 dropIdle(to);
@@ -128,7 +128,7 @@
         }
 
         @Override
-        public void tell(int peer, byte[] message) { }
+        public void sendToPeer(int peer, byte[] message) { }
 
         @Override
         public void log(String line) {
@@ -141,14 +141,14 @@
 
         void resolved(World.Attempt attempt, Outcome outcome, boolean requestOver, LoadReport report) {
             if (!over) {
-                module.resolved(world.tick(), attempt.of.id, attempt.number, attempt.machine.build.address(), outcome,
+                module.attemptEnded(world.tick(), attempt.of.id, attempt.number, attempt.machine.build.address(), outcome,
                         agenda.now() - attempt.sentAt, requestOver, report);
             }
         }
 
         void probed(Machine machine, Outcome outcome, long elapsed, LoadReport report) {
             if (!over) {
-                module.probed(world.tick(), machine.build.address(), outcome, elapsed, report);
+                module.probeEnded(world.tick(), machine.build.address(), outcome, elapsed, report);
             }
         }
 
@@ -243,7 +243,7 @@
         running = true;
         life = mine;
         mine.module = world.brains().start(world.tick(), mine.brain, world.settings(this, starts++), mine);
-        list(mine, ListForm.CACHED, world.registry().all());
+        list(mine, ListUpdateType.CACHED, world.registry().all());
         mine.seen = world.registry().version();
         if (starts == 1) {
             mine.subscribed = true;  // the day finds it in service
@@ -268,38 +268,38 @@
         life.end();
     }
 
-    void list(Life of, ListForm form, List<Host> hosts) {
+    void list(Life of, ListUpdateType form, List<Host> hosts) {
         if (of.over) {
             return;
         }
         Map<String, Told> before = Map.copyOf(of.told);
-        if (form == ListForm.FULL || form == ListForm.CACHED) {
-            of.told.replaceAll((address, told) -> new Told(Health.GONE, told.health == Health.UP ? agenda.now() : told.at,
+        if (form == ListUpdateType.FULL || form == ListUpdateType.CACHED) {
+            of.told.replaceAll((address, told) -> new Told(HostState.TERMINATED, told.health == HostState.IN_SERVICE ? agenda.now() : told.at,
                     told.born));
         }
         for (Host host : hosts) {
             Told earlier = before.get(host.address());
-            boolean same = earlier != null && earlier.health == host.health() && earlier.born == host.born();
-            of.told.put(host.address(), same ? earlier : new Told(host.health(), agenda.now(), host.born()));
-            if (host.health() != Health.UP) {
+            boolean same = earlier != null && earlier.health == host.state() && earlier.born == host.startedAt();
+            of.told.put(host.address(), same ? earlier : new Told(host.state(), agenda.now(), host.startedAt()));
+            if (host.state() != HostState.IN_SERVICE) {
                 Machine machine = world.machine(host.address());
                 if (machine != null) {
                     of.dropIdle(machine);
                 }
             }
         }
-        of.module.hosts(world.tick(), form, hosts);
+        of.module.hostListReceived(world.tick(), form, hosts);
     }
 
     /** A request has come in whole. */
     void take(World.Try of, Balancer.Request request) {
         life.tries.put(of.id, of);
-        life.module.request(world.tick(), request);
+        life.module.requestReceived(world.tick(), request);
     }
 
     void departed(Life of, World.Try left) {
         if (!of.over) {
-            of.module.departed(world.tick(), left.id);
+            of.module.clientLeft(world.tick(), left.id);
             of.forget(left);
         }
     }
--- a/lab/src/main/java/mastdrift/lab/Plan.java
+++ b/lab/src/main/java/mastdrift/lab/Plan.java
@@ -1,9 +1,9 @@
 package mastdrift.lab;
 
 import java.util.List;
-import mastdrift.Balancer.Group;
-import mastdrift.Balancer.Repeat;
-import mastdrift.Balancer.Weights;
+import mastdrift.Balancer.DedupScope;
+import mastdrift.Balancer.Idempotency;
+import mastdrift.Balancer.WeightMode;
 import mastdrift.common.Range;
 
 /**
@@ -41,7 +41,7 @@
     /** What all hosts have in common: connections, choking, warm keys. */
     record Hosts(Range handshakeRtts, Range handshakeMs, Range connectionsPerCore, double idleS, double dialTimeoutMs,
             Range chokeAt, Range chokeOverS, Range chokeSlower, Range chokeBelow, Range chokeRestS, Range keyGain,
-            Range keysPerCore, Range probeMs, boolean cancels, Weights weights) { }
+            Range keysPerCore, Range probeMs, boolean cancels, WeightMode weights) { }
 
     /** One kind of machine and its share of all. */
     record Kind(String name, Range share, int cores, Range speed, Range slotsPerCore, Range queuePerCore, Range coldFrom,
@@ -52,7 +52,7 @@
 
     /** A class of requests; work is on one core of speed 1. */
     record ClassPlan(String name, Range share, Range workMs, Range variation, double aimMs, double deadlineMs, double worth,
-            double lateWorth, Repeat repeat, Group group, double windowMs) { }
+            double lateWorth, Idempotency repeat, DedupScope group, double windowMs) { }
 
     /** What clients do after an answer that is none. */
     record Clients(Range retries, Range tryShare, Range backoffMs, Range honour, Range impatient, double maxRetryAfterMs,
--- a/lab/src/main/java/mastdrift/lab/Referee.java
+++ b/lab/src/main/java/mastdrift/lab/Referee.java
@@ -3,9 +3,9 @@
 import java.util.EnumMap;
 import java.util.List;
 import java.util.Map;
-import mastdrift.Balancer.Group;
-import mastdrift.Balancer.Health;
-import mastdrift.Balancer.Repeat;
+import mastdrift.Balancer.DedupScope;
+import mastdrift.Balancer.HostState;
+import mastdrift.Balancer.Idempotency;
 
 /** Holds what gateways do against the four rules (WIRE, section 14), and names the first breach of each. */
 final class Referee {
@@ -46,7 +46,7 @@
         }
         mayRepeat(now, of, to);
         Node.Told told = by.told(to.build.address());
-        long drained = told == null || told.health() == Health.UP ? Long.MAX_VALUE : told.at();
+        long drained = told == null || told.health() == HostState.IN_SERVICE ? Long.MAX_VALUE : told.at();
         if (drained != Long.MAX_VALUE && now - drained > rules.drainGraceMs() * 1000) {
             breach(Rule.DRAIN, now, of.id, "sent to " + to.build.address() + " " + (now - drained) / 1000
                     + " ms after its drain was told");
@@ -59,10 +59,10 @@
             if (earlier.out && !rules.secondCopies()) {
                 breach(Rule.DUPLICATE, now, of.id, "two attempts out at once");
             }
-            if (earlier.neverRan || type.repeat() == Repeat.SAFE) {
+            if (earlier.neverRan || type.repeat() == Idempotency.SAFE) {
                 continue;
             }
-            if (type.repeat() == Repeat.UNSAFE) {
+            if (type.repeat() == Idempotency.UNSAFE) {
                 breach(Rule.DUPLICATE, now, of.id, "an unsafe request sent again that may have run");
             } else if (now - earlier.sentAt >= type.windowMs() * 1000) {
                 breach(Rule.DUPLICATE, now, of.id, "a keyed request sent again past the window");
@@ -72,15 +72,15 @@
         }
     }
 
-    private static boolean alike(Group group, Machine one, Machine other) {
-        return group == Group.ALL || group == Group.ZONE && one.build.zone().equals(other.build.zone())
-                || group == Group.CELL && one.build.cell() == other.build.cell();
+    private static boolean alike(DedupScope group, Machine one, Machine other) {
+        return group == DedupScope.ALL || group == DedupScope.ZONE && one.build.zone().equals(other.build.zone())
+                || group == DedupScope.CELL && one.build.cell() == other.build.cell();
     }
 
     /** A request is refused, which tells its client that another try is harmless. */
     void refuses(long now, World.Try of) {
         Plan.ClassPlan type = of.request.type;
-        boolean harmless = type.repeat() == Repeat.SAFE || type.repeat() == Repeat.KEYED && type.group() == Group.ALL
+        boolean harmless = type.repeat() == Idempotency.SAFE || type.repeat() == Idempotency.KEYED && type.group() == DedupScope.ALL
                 || of.attempts.stream().allMatch(attempt -> attempt.neverRan);
         if (!harmless) {
             breach(Rule.DUPLICATE, now, of.id, "refused though it may have run");
--- a/lab/src/main/java/mastdrift/lab/Registry.java
+++ b/lab/src/main/java/mastdrift/lab/Registry.java
@@ -4,10 +4,10 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import mastdrift.Balancer.Health;
+import mastdrift.Balancer.HostState;
 import mastdrift.Balancer.Host;
-import mastdrift.Balancer.ListForm;
-import mastdrift.Balancer.Weights;
+import mastdrift.Balancer.ListUpdateType;
+import mastdrift.Balancer.WeightMode;
 
 /** Discovery: knows of hosts late, tells gateways by period, and answers so many calls a second. */
 final class Registry {
@@ -54,7 +54,7 @@
     }
 
     void begin(List<Machine> machines) {
-        machines.forEach(machine -> set(machine, Health.UP));
+        machines.forEach(machine -> set(machine, HostState.IN_SERVICE));
         agenda.in(dice.below((int) Math.min(Integer.MAX_VALUE, period)), this::turn);
     }
 
@@ -67,7 +67,7 @@
         };
     }
 
-    private void set(Machine machine, Health health) {
+    private void set(Machine machine, HostState health) {
         Host host = new Host(machine.build.address(), machine.build.zone(), machine.build.cell(), machine.build.kind(),
                 weight(machine), health, machine.born);
         entries.put(host.address(), new Entry(host, ++version));
@@ -75,15 +75,15 @@
 
     /** Live weights, as they were at the beginning of a period. */
     private void turn() {
-        if (world.plan().hosts().weights() == Weights.LIVE && !down) {
+        if (world.plan().hosts().weights() == WeightMode.LIVE && !down) {
             for (Machine machine : world.machines()) {
                 Entry known = entries.get(machine.build.address());
-                if (known != null && known.host.health() == Health.UP && machine.up) {
+                if (known != null && known.host.state() == HostState.IN_SERVICE && machine.up) {
                     Host before = known.host;
                     double weight = weight(machine);
                     if (weight != before.weight()) {
                         entries.put(before.address(), new Entry(new Host(before.address(), before.zone(), before.cell(),
-                                before.kind(), weight, before.health(), before.born()), ++version));
+                                before.model(), weight, before.state(), before.startedAt()), ++version));
                     }
                 }
             }
@@ -92,8 +92,8 @@
     }
 
     /** A host's process started, began to drain, or ended; {@code silently} if nothing told of it. */
-    void changed(Machine machine, Health health, boolean silently) {
-        long after = health == Health.UP ? add : silently ? silentNotice : notice;
+    void changed(Machine machine, HostState health, boolean silently) {
+        long after = health == HostState.IN_SERVICE ? add : silently ? silentNotice : notice;
         int generation = machine.generation;
         agenda.in((long) (after * late), () -> {
             if (machine.generation == generation) {
@@ -104,7 +104,7 @@
 
     /** All that it knows of. */
     List<Host> all() {
-        return entries.values().stream().map(Entry::host).filter(host -> host.health() != Health.GONE).toList();
+        return entries.values().stream().map(Entry::host).filter(host -> host.state() != HostState.TERMINATED).toList();
     }
 
     long version() {
@@ -117,12 +117,12 @@
         Node.Life life = by.life();
         double begins = Math.max(agenda.now(), freeAt);
         if (down || begins - agenda.now() > CALL_WAITS) {
-            agenda.in(CALL_WAITS, () -> by.list(life, ListForm.FAILED, List.of()));
+            agenda.in(CALL_WAITS, () -> by.list(life, ListUpdateType.FAILED, List.of()));
             return;
         }
         freeAt = begins + 1 / callsPerMicro;
         agenda.at((long) Math.ceil(freeAt), () -> {
-            by.list(life, ListForm.FULL, all());
+            by.list(life, ListUpdateType.FULL, all());
             life.seen = version;
             if (subscribes) {
                 life.subscribed = true;
@@ -143,6 +143,6 @@
             }
         }
         life.seen = version;
-        to.list(life, ListForm.DELTA, changes);
+        to.list(life, ListUpdateType.DELTA, changes);
     }
 }
--- a/lab/src/main/java/mastdrift/lab/SettingsText.java
+++ b/lab/src/main/java/mastdrift/lab/SettingsText.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import java.util.Locale;
-import mastdrift.Balancer.Repeat;
+import mastdrift.Balancer.Idempotency;
 import mastdrift.Balancer.RequestClass;
 import mastdrift.Balancer.Settings;
 
@@ -15,45 +15,45 @@
 
     static String of(Settings s) {
         SettingsText to = new SettingsText();
-        to.put("allowed.cancel", s.limits().cancel()).put("allowed.conn_idle", s.links().idle())
-                .put("allowed.cpu_us_per_request", s.cpu().perRequest()).put("allowed.cpu_us_per_s", s.cpu().perSecond())
-                .put("allowed.dial_timeout", s.links().dialTimeout()).put("allowed.max_attempts", s.limits().maxAttempts())
-                .put("allowed.max_open", s.limits().maxOpen()).put("allowed.max_retry_after", s.limits().maxRetryAfter())
-                .put("allowed.may_tell", s.limits().peers()).put("allowed.parallel_tries", s.limits().parallelTries())
-                .put("allowed.probes", s.limits().probes()).put("allowed.retry_after", s.limits().retryAfter())
-                .put("allowed.streams_per_conn", s.links().streams()).put("balancers", s.site().gateways())
+        to.put("allowed.cancel", s.limits().mayCancel()).put("allowed.conn_idle", s.connections().idleTimeout())
+                .put("allowed.cpu_us_per_request", s.cpu().timePerRequest()).put("allowed.cpu_us_per_s", s.cpu().timePerSecond())
+                .put("allowed.dial_timeout", s.connections().dialTimeout()).put("allowed.max_attempts", s.limits().maxAttempts())
+                .put("allowed.max_open", s.limits().maxOpenRequests()).put("allowed.max_retry_after", s.limits().maxRetryAfter())
+                .put("allowed.may_tell", s.limits().mayMessagePeers()).put("allowed.parallel_tries", s.limits().mayHedge())
+                .put("allowed.probes", s.limits().mayProbe()).put("allowed.retry_after", s.limits().sendsRetryAfter())
+                .put("allowed.streams_per_conn", s.connections().streamsPerConnection()).put("balancers", s.topology().gatewayCount())
                 .put("classes.count", s.classes().size());
         for (int i = 0; i < s.classes().size(); i++) {
             to.put("classes." + i + ".", s.classes().get(i));
         }
-        return to.put("client_habits.marks_retry", s.habits().marksRetry()).put("dcs", s.site().zones())
-                .put("family_info.warm_keys", s.habits().warmKeys())
-                .put("goal.whole", s.value().goal().whole()).put("goal.worst_class", s.value().goal().worstClass())
-                .put("goal.worst_tenant", s.value().goal().worstTenant())
-                .put("goal.worst_window", s.value().goal().worstWindow())
-                .put("guarantees.answer_slack", s.rules().answerSlack()).put("guarantees.cold_from", s.rules().coldFrom())
-                .put("guarantees.drain_grace", s.rules().drainGrace()).put("guarantees.fall", s.rules().fallSpan())
-                .put("guarantees.must_ask_in", s.rules().mustAskIn())
-                .put("guarantees.tip_multiple", s.rules().fallMultiple())
-                .put("guarantees.warm_within", s.rules().warmWithin()).put("layer", s.site().layer())
-                .put("locality", s.site().zone()).put("me", s.site().me()).put("over_share_worth", s.value().overShareWorth())
-                .put("prices.cross_zone", s.value().prices().crossZone()).put("prices.waste", s.value().prices().waste())
-                .put("prices.probe", s.value().prices().probe()).put("prices.handshake", s.value().prices().handshake())
-                .put("registry_mode", s.registryOnRequest() ? "on_request" : "pushed").put("resolution", s.resolution())
-                .put("service_type", s.service()).put("skus", s.site().kinds()).put("stages", s.site().stages())
-                .put("stats.how", List.of("inline", "on_probe", "off").get(s.habits().reports().ordinal()))
-                .put("stats.names", s.habits().reportNames()).put("tenants.count", 0)
-                .put("weights", s.weights().name().toLowerCase(Locale.ROOT))
-                .put("worth_by", s.value().byWork() ? "work" : "request").text.toString();
+        return to.put("client_habits.marks_retry", s.capabilities().clientsMarkRetries()).put("dcs", s.topology().zones())
+                .put("family_info.warm_keys", s.capabilities().hostsCacheKeys())
+                .put("goal.whole", s.scoring().weights().overall()).put("goal.worst_class", s.scoring().weights().worstClass())
+                .put("goal.worst_tenant", s.scoring().weights().worstTenant())
+                .put("goal.worst_window", s.scoring().weights().worstWindow())
+                .put("guarantees.answer_slack", s.guarantees().answerSlack()).put("guarantees.cold_from", s.guarantees().coldCapacityFraction())
+                .put("guarantees.drain_grace", s.guarantees().drainGrace()).put("guarantees.fall", s.guarantees().overloadWindow())
+                .put("guarantees.must_ask_in", s.guarantees().listRequestDeadline())
+                .put("guarantees.tip_multiple", s.guarantees().overloadMultiple())
+                .put("guarantees.warm_within", s.guarantees().warmUpTime()).put("layer", s.topology().tierIndex())
+                .put("locality", s.topology().zone()).put("me", s.topology().instanceIndex()).put("over_share_worth", s.scoring().overQuotaValueFraction())
+                .put("prices.cross_zone", s.scoring().penalties().crossZone()).put("prices.waste", s.scoring().penalties().wastedWork())
+                .put("prices.probe", s.scoring().penalties().probe()).put("prices.handshake", s.scoring().penalties().handshake())
+                .put("registry_mode", s.listOnRequest() ? "on_request" : "pushed").put("resolution", s.clockResolution())
+                .put("service_type", s.serviceType()).put("skus", s.topology().hostModels()).put("stages", s.topology().tiers())
+                .put("stats.how", List.of("inline", "on_probe", "off").get(s.capabilities().loadReportMode().ordinal()))
+                .put("stats.names", s.capabilities().loadReportFields()).put("tenants.count", 0)
+                .put("weights", s.weightMode().name().toLowerCase(Locale.ROOT))
+                .put("worth_by", s.scoring().valueByWork() ? "work" : "request").text.toString();
     }
 
     private void put(String path, RequestClass type) {
-        put(path + "name", type.name()).put(path + "target", type.aim()).put(path + "deadline", type.deadline())
-                .put(path + "credit", type.worth()).put(path + "late_share", type.lateWorth())
-                .put(path + "repeat", List.of("read_like", "idempotency_key", "non_idempotent").get(type.repeat().ordinal()))
-                .put(path + "stream", type.stream());
-        if (type.repeat() == Repeat.KEYED) {
-            put(path + "group", type.group().name().toLowerCase(Locale.ROOT)).put(path + "dedup_window", type.dedupWindow());
+        put(path + "name", type.name()).put(path + "target", type.latencyTarget()).put(path + "deadline", type.deadline())
+                .put(path + "credit", type.value()).put(path + "late_share", type.lateValueFraction())
+                .put(path + "repeat", List.of("read_like", "idempotency_key", "non_idempotent").get(type.idempotency().ordinal()))
+                .put(path + "stream", type.streaming());
+        if (type.idempotency() == Idempotency.KEYED) {
+            put(path + "group", type.dedupScope().name().toLowerCase(Locale.ROOT)).put(path + "dedup_window", type.dedupWindow());
         }
     }
 
--- a/lab/src/main/java/mastdrift/lab/Wire.java
+++ b/lab/src/main/java/mastdrift/lab/Wire.java
@@ -16,9 +16,9 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Collectors;
-import mastdrift.Balancer.Health;
+import mastdrift.Balancer.HostState;
 import mastdrift.Balancer.Host;
-import mastdrift.Balancer.ListForm;
+import mastdrift.Balancer.ListUpdateType;
 import mastdrift.Balancer.LoadReport;
 import mastdrift.Balancer.Outcome;
 import mastdrift.Balancer.Settings;
@@ -120,12 +120,12 @@
             case "abort_attempt" -> asker.cancel(Long.parseLong(rest[0]), Integer.parseInt(rest[1]));
             case "decline" -> asker.refuse(Long.parseLong(rest[0]), rest.length > 1 ? Long.parseLong(rest[1]) : 0);
             case "error" -> asker.fail(Long.parseLong(rest[0]));
-            case "after" -> asker.timer(Long.parseLong(rest[0]), rest[1]);
+            case "after" -> asker.scheduleTimer(Long.parseLong(rest[0]), rest[1]);
             case "poll" -> asker.probe(rest[0]);
-            case "watch" -> asker.watch(rest[0].equals("1"));
-            case "pull" -> asker.fetch();
-            case "free_links" -> asker.closeIdle(rest[0]);
-            case "notify" -> asker.tell(rest[0].equals("*") ? -1 : Integer.parseInt(rest[0]),
+            case "watch" -> asker.watchHostList(rest[0].equals("1"));
+            case "pull" -> asker.fetchHostList();
+            case "free_links" -> asker.closeIdleConnections(rest[0]);
+            case "notify" -> asker.sendToPeer(rest[0].equals("*") ? -1 : Integer.parseInt(rest[0]),
                     HexFormat.of().parseHex(rest[1]));
             case "log" -> asker.log(parts.length > 2 ? parts[2] : "");
             default -> throw new IllegalStateException("unexpected on the wire: " + line);
@@ -162,19 +162,19 @@
         }
 
         @Override
-        public void hosts(long now, ListForm form, List<Host> hosts) {
+        public void hostListReceived(long now, ListUpdateType form, List<Host> hosts) {
             line("discovery", gateway).append(' ').append(form.name().toLowerCase(Locale.ROOT)).append(" 0 ")
                     .append(hosts.size()).append('\n');
             for (Host host : hosts) {
                 batch.append("entry ").append(host.cell()).append(' ').append(host.address()).append(' ').append(host.zone())
-                        .append(' ').append(host.weight()).append(' ').append(host.kind()).append(' ')
-                        .append(host.health() == Health.UP ? 'U' : host.health() == Health.LEAVING ? 'L' : 'D').append(' ')
-                        .append(host.born() == 0 ? "-" : Long.toString(host.born())).append('\n');
+                        .append(' ').append(host.weight()).append(' ').append(host.model()).append(' ')
+                        .append(host.state() == HostState.IN_SERVICE ? 'U' : host.state() == HostState.TERMINATING ? 'L' : 'D').append(' ')
+                        .append(host.startedAt() == 0 ? "-" : Long.toString(host.startedAt())).append('\n');
             }
         }
 
         @Override
-        public void request(long now, Request request) {
+        public void requestReceived(long now, Request request) {
             int marks = (request.work() > 0 ? 1 : 0) + (request.repeated() ? 2 : 0) + (request.write() ? 4 : 0);
             line("call", gateway).append(' ').append(request.id()).append(' ').append(request.className()).append(' ')
                     .append(request.tenant() == null ? "-" : request.tenant()).append(' ')
@@ -184,12 +184,12 @@
         }
 
         @Override
-        public void streaming(long now, long id, int attempt) {
+        public void streamingStarted(long now, long id, int attempt) {
             throw new UnsupportedOperationException("no class of the lab streams");
         }
 
         @Override
-        public void resolved(long now, long id, int attempt, String address, Outcome outcome, long elapsed, boolean over,
+        public void attemptEnded(long now, long id, int attempt, String address, Outcome outcome, long elapsed, boolean over,
                 LoadReport report) {
             line("resolved", gateway).append(' ').append(id).append(' ').append(attempt).append(' ').append(address)
                     .append(' ').append(word(outcome)).append(' ').append(elapsed).append(over ? " 1 " : " 0 ")
@@ -197,24 +197,24 @@
         }
 
         @Override
-        public void departed(long now, long id) {
+        public void clientLeft(long now, long id) {
             line("gone", gateway).append(' ').append(id).append('\n');
         }
 
         @Override
-        public void probed(long now, String address, Outcome outcome, long elapsed, LoadReport report) {
+        public void probeEnded(long now, String address, Outcome outcome, long elapsed, LoadReport report) {
             line("echo", gateway).append(' ').append(address).append(' ').append(word(outcome)).append(' ').append(elapsed)
                     .append(' ').append(pairs(report)).append('\n');
         }
 
         @Override
-        public void timer(long now, String handle) {
+        public void timerFired(long now, String handle) {
             line("timer", gateway).append(' ').append(handle).append('\n');
         }
 
         /** Not on the wire. */
         @Override
-        public int excluded(long now) {
+        public int excludedHostCount(long now) {
             return 0;
         }
     }
@@ -228,11 +228,11 @@
 
     private static String pairs(LoadReport report) {
         Map<String, Double> named = new java.util.LinkedHashMap<>();
-        named.put("active", report.active());
-        named.put("waiting", report.waiting());
-        named.put("cpu", report.cpu());
-        named.put("avg_ms", report.serviceMillis());
-        named.put("rps", report.rps());
+        named.put("active", report.activeRequests());
+        named.put("waiting", report.queuedRequests());
+        named.put("cpu", report.cpuUtilization());
+        named.put("avg_ms", report.averageServiceMillis());
+        named.put("rps", report.requestsPerSecond());
         named.put("err_rps", report.errorsPerSecond());
         String text = named.entrySet().stream().filter(pair -> !pair.getValue().isNaN())
                 .map(pair -> pair.getKey() + ":" + pair.getValue()).collect(Collectors.joining(","));
--- a/lab/src/main/java/mastdrift/lab/World.java
+++ b/lab/src/main/java/mastdrift/lab/World.java
@@ -9,21 +9,21 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.stream.IntStream;
-import mastdrift.Balancer.Cpu;
-import mastdrift.Balancer.Goal;
-import mastdrift.Balancer.Habits;
+import mastdrift.Balancer.CpuBudget;
+import mastdrift.Balancer.ScoreWeights;
+import mastdrift.Balancer.Capabilities;
 import mastdrift.Balancer.Limits;
-import mastdrift.Balancer.Links;
+import mastdrift.Balancer.ConnectionSettings;
 import mastdrift.Balancer.LoadReport;
 import mastdrift.Balancer.Outcome;
-import mastdrift.Balancer.Prices;
-import mastdrift.Balancer.Repeat;
-import mastdrift.Balancer.Reports;
+import mastdrift.Balancer.Penalties;
+import mastdrift.Balancer.Idempotency;
+import mastdrift.Balancer.LoadReportMode;
 import mastdrift.Balancer.RequestClass;
-import mastdrift.Balancer.Rules;
+import mastdrift.Balancer.Guarantees;
 import mastdrift.Balancer.Settings;
-import mastdrift.Balancer.Site;
-import mastdrift.Balancer.Value;
+import mastdrift.Balancer.Topology;
+import mastdrift.Balancer.Scoring;
 import mastdrift.Balancer;
 import org.apache.commons.rng.sampling.distribution.DiscreteSampler;
 
@@ -261,7 +261,7 @@
         machine.fallsAt(plan.rules().fallMultiple(), (long) (1000 * plan.rules().fallMs()));
         machine.fell = knew -> {
             referee.fell(agenda.now(), machine, knew);
-            registry.changed(machine, Balancer.Health.GONE, true);
+            registry.changed(machine, Balancer.HostState.TERMINATED, true);
         };
         machines.add(machine);
         byAddress.put(build.address(), machine);
@@ -313,20 +313,20 @@
 
     Settings settings(Node of, int start) {
         List<RequestClass> classes = plan.classes().stream().map(type -> new RequestClass(type.name(), micros(type.aimMs()), 0,
-                micros(type.deadlineMs()), type.worth(), type.lateWorth(), type.repeat(), type.repeat() == Repeat.KEYED
-                ? type.group() : Balancer.Group.ALL, type.repeat() == Repeat.KEYED ? micros(type.windowMs()) : 0, false)).toList();
+                micros(type.deadlineMs()), type.worth(), type.lateWorth(), type.repeat(), type.repeat() == Idempotency.KEYED
+                ? type.group() : Balancer.DedupScope.ALL, type.repeat() == Idempotency.KEYED ? micros(type.windowMs()) : 0, false)).toList();
         Plan.Rules rules = plan.rules();
         Plan.Goal goal = plan.goal();
         return new Settings(classes, List.of(), new Limits(true, rules.probes(), rules.secondCopies(), false,
                 rules.maxAttempts(), 20_000, true, micros(plan.clients().maxRetryAfterMs())),
-                new Links(micros(plan.hosts().dialTimeoutMs()), micros(plan.hosts().idleS() * 1000), 1),
-                new Cpu(1_000_000, 0), new Rules(micros(rules.slackMs()), micros(rules.drainGraceMs()), 0, coldFrom,
+                new ConnectionSettings(micros(plan.hosts().dialTimeoutMs()), micros(plan.hosts().idleS() * 1000), 1),
+                new CpuBudget(1_000_000, 0), new Guarantees(micros(rules.slackMs()), micros(rules.drainGraceMs()), 0, coldFrom,
                 Math.max(1, warmWithin), rules.fallMultiple(), micros(rules.fallMs())),
-                new Value(new Goal(goal.whole(), goal.worstWindow(), goal.worstClass(), 0), new Prices(goal.crossZone(),
+                new Scoring(new ScoreWeights(goal.whole(), goal.worstWindow(), goal.worstClass(), 0), new Penalties(goal.crossZone(),
                 goal.waste(), 0, goal.handshake(), 0, goal.probe(), 0, 0, 0, 0, 0), 1, false),
-                new Site(of.number, nodes.size(), of.zone, plan.fleet().zones(),
+                new Topology(of.number, nodes.size(), of.zone, plan.fleet().zones(),
                 plan.kinds().stream().map(Plan.Kind::name).toList(), 0, List.of("hosts")),
-                new Habits(true, false, Reports.ON_PROBE, List.of("rps", "waiting", "cpu"), plan.clients().marksRetry()),
+                new Capabilities(true, false, LoadReportMode.ON_PROBE, List.of("rps", "waiting", "cpu"), plan.clients().marksRetry()),
                 false, plan.hosts().weights(), "proxy", tickMicros, Dice.mix(seed * 31 + of.number * 1009L + start) >>> 12);
     }
 
@@ -446,7 +446,7 @@
                 return;
             }
             node.take(of, new Balancer.Request(of.id, request.type.name(), null, request.key, of.ends - tick, 0,
-                    request.tried > 1 && plan.clients().marksRetry(), request.type.repeat() != Repeat.SAFE));
+                    request.tried > 1 && plan.clients().marksRetry(), request.type.repeat() != Idempotency.SAFE));
             agenda.at(of.ends + micros(plan.rules().slackMs()), () -> {
                 if (!of.over && !of.life.over()) {
                     referee.unanswered(agenda.now(), of);
@@ -493,8 +493,8 @@
             return;
         }
         request.refused = answer == Answer.REFUSED;
-        boolean harmless = answer == Answer.REFUSED || neverTaken || request.type.repeat() == Repeat.SAFE
-                || request.type.repeat() == Repeat.KEYED && request.type.group() == Balancer.Group.ALL
+        boolean harmless = answer == Answer.REFUSED || neverTaken || request.type.repeat() == Idempotency.SAFE
+                || request.type.repeat() == Idempotency.KEYED && request.type.group() == Balancer.DedupScope.ALL
                 && now - request.at < micros(request.type.windowMs());
         long wait = (long) (1000 * backoffMs * (1 << Math.min(6, request.tried - 1)) * (0.5 + clientDice.unit()));
         if (answer == Answer.REFUSED && retryAfter > 0 && clientDice.chance(honour)) {
@@ -748,7 +748,7 @@
         during(at, span, () -> begin(() -> lost.forEach(host -> {
             host.silent = true;
             host.end();
-            registry.changed(host, Balancer.Health.GONE, true);
+            registry.changed(host, Balancer.HostState.TERMINATED, true);
         })), () -> lost.forEach(this::restart));
     }
 
@@ -775,7 +775,7 @@
             return;
         }
         change(host, () -> host.leaving = true);
-        registry.changed(host, Balancer.Health.LEAVING, false);
+        registry.changed(host, Balancer.HostState.TERMINATING, false);
         agenda.in(DRAIN_FOR, () -> {
             host.end();
             agenda.in(START_OF_HOST, () -> restart(host));
@@ -789,18 +789,18 @@
         }
         Machine next = machine(host.build.at(address), new Dice(seed, "host " + address));
         next.start();
-        registry.changed(next, Balancer.Health.UP, false);
+        registry.changed(next, Balancer.HostState.IN_SERVICE, false);
         change(host, () -> host.leaving = true);
-        registry.changed(host, Balancer.Health.LEAVING, false);
+        registry.changed(host, Balancer.HostState.TERMINATING, false);
         agenda.in(DRAIN_FOR, () -> {
             host.end();
-            registry.changed(host, Balancer.Health.GONE, false);
+            registry.changed(host, Balancer.HostState.TERMINATED, false);
         });
     }
 
     private void restart(Machine host) {
         host.start();
-        registry.changed(host, Balancer.Health.UP, false);
+        registry.changed(host, Balancer.HostState.IN_SERVICE, false);
     }
 
     /** Killed, missed by the front for a while, and back once it has started. */
--- a/lab/src/test/java/mastdrift/lab/DayFileTest.java
+++ b/lab/src/test/java/mastdrift/lab/DayFileTest.java
@@ -38,7 +38,7 @@
     /** Guards against a day of which a mistyped line changes nothing, and against one error told at a time. */
     @Test
     void everyFaultIsNamedWithFileLineAndKeyAllAtOnce() {
-        TomlFile.Faults faults = assertThrows(TomlFile.Faults.class, () -> DayFile.parse("""
+        TomlFile.ValidationException faults = assertThrows(TomlFile.ValidationException.class, () -> DayFile.parse("""
                 seconds = "long"
                 [fleet]
                 gatways = 5
@@ -56,13 +56,13 @@
                 "bad.toml:6: traffic.load: expected a number or a range [from, to]",
                 "bad.toml:10: class[0].name: expected a name without spaces",
                 "bad.toml:8: trouble[0].kind: expected one of hang, neighbour, grow, release, join, zone, split, zone_slow, zone_full, zone_flap, region, self_cut, roll, herd, "
-                + "handover, late_lists, no_lists, loss, resets", "bad.toml:1: seconds: expected a whole number"), faults.lines());
+                + "handover, late_lists, no_lists, loss, resets", "bad.toml:1: seconds: expected a whole number"), faults.errors());
     }
 
     @Test
     void whatIsNoTomlIsNamedByItsLine() {
-        TomlFile.Faults faults = assertThrows(TomlFile.Faults.class, () -> DayFile.parse("name = \"x\"\nseconds 4\n", "odd.toml"));
-        assertTrue(faults.lines().get(0).startsWith("odd.toml:2: "), faults.getMessage());
+        TomlFile.ValidationException faults = assertThrows(TomlFile.ValidationException.class, () -> DayFile.parse("name = \"x\"\nseconds 4\n", "odd.toml"));
+        assertTrue(faults.errors().get(0).startsWith("odd.toml:2: "), faults.getMessage());
     }
 
     @Test
--- a/lab/src/test/java/mastdrift/lab/WorldTest.java
+++ b/lab/src/test/java/mastdrift/lab/WorldTest.java
@@ -135,8 +135,8 @@
         }
 
         @Override
-        public void timer(long at, String handle) {
-            to.timer(at, handle);
+        public void scheduleTimer(long at, String handle) {
+            to.scheduleTimer(at, handle);
         }
 
         @Override
@@ -145,22 +145,22 @@
         }
 
         @Override
-        public void watch(boolean active) {
-            to.watch(active);
+        public void watchHostList(boolean active) {
+            to.watchHostList(active);
         }
 
         @Override
-        public void fetch() {
-            to.fetch();
+        public void fetchHostList() {
+            to.fetchHostList();
         }
 
         @Override
-        public void closeIdle(String address) {
-            to.closeIdle(address);
+        public void closeIdleConnections(String address) {
+            to.closeIdleConnections(address);
         }
 
         @Override
-        public void tell(int peer, byte[] message) { }
+        public void sendToPeer(int peer, byte[] message) { }
 
         @Override
         public void log(String line) {
--- a/registry/src/main/java/mastdrift/registry/Agent.java
+++ b/registry/src/main/java/mastdrift/registry/Agent.java
@@ -26,8 +26,8 @@
 import mastdrift.common.Backoff;
 import mastdrift.common.Clock;
 import mastdrift.common.Disk;
-import mastdrift.common.Follow;
-import mastdrift.common.Http;
+import mastdrift.common.LineStreamClient;
+import mastdrift.common.HttpServer;
 import mastdrift.common.Json;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -55,7 +55,7 @@
     private final ExecutorService writer = Executors.newSingleThreadExecutor();
     private final AgentList list = new AgentList();
     private final Feed feed;
-    private final Http http;
+    private final HttpServer http;
     private final Backoff backoff = new Backoff(PAUSE_LEAST_MILLIS, PAUSE_MOST_MILLIS,
             () -> ThreadLocalRandom.current().nextDouble());
     private final Path file;
@@ -65,7 +65,7 @@
     private List<InetSocketAddress> replicas;  // those that the service names first, then those that were configured
     private final Gauges gauges = new Gauges();
     private final Membership membership;  // null where this agent is no member
-    private Follow follow;
+    private LineStreamClient follow;
     private int replica;
     private String source = "none";
     private long heardAt;
@@ -98,7 +98,7 @@
         }
         try {
             byte[] kept = disk.read(addressFile);
-            if (kept != null && Json.object(kept).get("replicas") instanceof List<?> addresses) {
+            if (kept != null && Json.parse(kept).get("replicas") instanceof List<?> addresses) {
                 order(addresses.stream().map(Object::toString).toList());
             }
         } catch (IOException | IllegalArgumentException e) {
@@ -114,7 +114,7 @@
                 .put("agent_lists_refused", "Lists older, empty or spoilt that were not let through.",
                         () -> refusedOlder + refusedEmpty + refusedSpoilt)
                 .put("agent_lists_not_kept", "Lists that could not be written to the file.", () -> unkept);
-        http = Http.listen(loop, setup.listen(), this::handle);
+        http = HttpServer.listen(loop, setup.listen(), this::handle);
         LOG.info("listening on {}:{}", setup.listen().getHostString(), http.port());
         membership = setup.member() == null ? null : new Membership(setup.member(), setup.replicas().stream()
                 .map(at -> at.getHostString() + ":" + at.getPort()).toList(), clock);
@@ -124,7 +124,7 @@
 
     private void order(List<String> named) {
         Set<InetSocketAddress> all = new LinkedHashSet<>();
-        named.forEach(address -> all.add(Http.address(address)));
+        named.forEach(address -> all.add(HttpServer.parseAddress(address)));
         all.addAll(setup.replicas());
         replicas = List.copyOf(all);
     }
@@ -142,7 +142,7 @@
     private void learn(byte[] body) {
         List<String> named = new ArrayList<>();
         try {
-            if (Json.object(body).get("members") instanceof Map<?, ?> members) {
+            if (Json.parse(body).get("members") instanceof Map<?, ?> members) {
                 members.values().forEach(member -> {
                     Object http = ((Map<?, ?>) member).get("http");
                     if (http != null && http.toString().contains(":")) {
@@ -155,7 +155,7 @@
             if (!named.isEmpty() && !replicas.equals(before)) {
                 replica = Math.max(0, replicas.indexOf(before.get(replica % before.size())));
                 LOG.info("replicas {}", named);
-                byte[] bytes = Json.text(Map.of("replicas", named)).getBytes(StandardCharsets.UTF_8);
+                byte[] bytes = Json.encode(Map.of("replicas", named)).getBytes(StandardCharsets.UTF_8);
                 writer.execute(() -> write(addressFile, bytes));
             }
         } catch (IllegalArgumentException e) {
@@ -165,13 +165,13 @@
 
     private void follow() {
         InetSocketAddress at = replicas.get(replica % replicas.size());
-        follow = Follow.begin(loop, at, "/v1/endpoints?watch=1&from=" + list.rev(),
+        follow = LineStreamClient.open(loop, at, "/v1/endpoints?watch=1&from=" + list.rev(),
                 Map.of("X-Least-Revision", Long.toString(list.rev())), DIAL_MILLIS, SILENCE_MILLIS,
                 line -> take(at, line), cause -> turn(at, cause));
     }
 
     private void take(InetSocketAddress at, String line) {
-        heardAt = clock.monotonic();
+        heardAt = clock.monotonicMicros();
         heard = true;
         if (line.isBlank()) {
             return;
@@ -196,7 +196,7 @@
         }
         if (taken != AgentList.Taken.NEWER && taken != AgentList.Taken.SAME) {
             LOG.info("list-refused why={} from={}:{}", taken, at.getHostString(), at.getPort());
-            follow.stop();
+            follow.cancel();
             turn(at, "a list that is " + taken);
         }
     }
@@ -229,20 +229,20 @@
         }
     }
 
-    private void handle(Http.Call call) {
+    private void handle(HttpServer.Exchange call) {
         switch (call.path()) {
             case "/v1/endpoints" -> {
                 if (list.rev() == 0) {
-                    call.json(503, "{\"error\":\"no list yet\"}", "Retry-After", "1");
-                } else if ("1".equals(call.query("watch"))) {
-                    feed.watch(call, call.number("from", 0));
+                    call.respondJson(503, "{\"error\":\"no list yet\"}", "Retry-After", "1");
+                } else if ("1".equals(call.queryParameter("watch"))) {
+                    feed.watch(call, call.queryLong("from", 0));
                 } else {
-                    call.json(200, list.since(0).text());
+                    call.respondJson(200, list.since(0).text());
                 }
             }
-            case "/metrics" -> call.answer(200, "text/plain; version=0.0.4", gauges.text());
-            case "/v1/agent" -> call.json(200, Json.text(status()));
-            default -> call.json(404, "{\"error\":\"no such call\"}");
+            case "/metrics" -> call.respond(200, "text/plain; version=0.0.4", gauges.text());
+            case "/v1/agent" -> call.respondJson(200, Json.encode(status()));
+            default -> call.respondJson(404, "{\"error\":\"no such call\"}");
         }
     }
 
@@ -266,7 +266,7 @@
     }
 
     private double age() {
-        return heard ? (clock.monotonic() - heardAt) / 1e6 : Double.NaN;
+        return heard ? (clock.monotonicMicros() - heardAt) / 1e6 : Double.NaN;
     }
 
     @Override
@@ -275,7 +275,7 @@
             membership.close();
         }
         http.close();
-        loop.submit(() -> follow.stop()).syncUninterruptibly();
+        loop.submit(() -> follow.cancel()).syncUninterruptibly();
         writer.shutdown();
         loop.parent().shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
--- a/registry/src/main/java/mastdrift/registry/AgentList.java
+++ b/registry/src/main/java/mastdrift/registry/AgentList.java
@@ -34,7 +34,7 @@
         boolean all;
         List<Entry> targets;
         try {
-            Map<String, Object> object = Json.object(line);
+            Map<String, Object> object = Json.parse(line);
             rev = ((Number) object.get("rev")).longValue();
             all = (Boolean) object.get("all");
             targets = ((List<?>) object.get("targets")).stream().map(target -> Entry.of((Map<?, ?>) target)).toList();
--- a/registry/src/main/java/mastdrift/registry/Catalogue.java
+++ b/registry/src/main/java/mastdrift/registry/Catalogue.java
@@ -26,7 +26,7 @@
             Map<String, Object> all = new LinkedHashMap<>();
             all.put("status", status);
             all.put("answer", answer);
-            return Json.text(all);
+            return Json.encode(all);
         }
     }
 
@@ -108,7 +108,7 @@
             case "duty" -> duties.shown(Objects.toString(command.get("name")));
             case "members" -> processes.shown();
             case "zones" -> evacuations.shown(time);
-            case "list" -> Json.object(listing.whole().text());
+            case "list" -> Json.parse(listing.whole().text());
             case "state" -> state();
             default -> throw new IllegalArgumentException("what: expected entry, duty, members, zones, list or state");
         };
--- a/registry/src/main/java/mastdrift/registry/Commands.java
+++ b/registry/src/main/java/mastdrift/registry/Commands.java
@@ -16,7 +16,7 @@
 import java.util.concurrent.Callable;
 import mastdrift.common.Clock;
 import mastdrift.common.Disk;
-import mastdrift.common.Http;
+import mastdrift.common.HttpServer;
 import mastdrift.common.Json;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
@@ -87,7 +87,7 @@
             peers.forEach((peer, address) -> all.put(peer, Peers.Address.of(address)));
             all.putIfAbsent(name, new Peers.Address(raft, listen));
             Main.endOnFaults();
-            Replica replica = new Replica(new Replica.Setup(name, folder, Http.address(listen), Http.address(raft), all,
+            Replica replica = new Replica(new Replica.Setup(name, folder, HttpServer.parseAddress(listen), HttpServer.parseAddress(raft), all,
                     watches), Clock.SYSTEM, new Catalogue(), new Disk());
             Runtime.getRuntime().addShutdownHook(new Thread(() -> {
                 try {
@@ -130,11 +130,11 @@
 
         @Override
         public Integer call() throws Exception {
-            List<InetSocketAddress> replicas = registry.stream().map(Http::address).toList();
+            List<InetSocketAddress> replicas = registry.stream().map(HttpServer::parseAddress).toList();
             Main.endOnFaults();
             Membership.Setup member = name == null ? null : new Membership.Setup(name, "agent", zone,
                     (address == null ? listen : address) + "/v1/agent");
-            Agent agent = new Agent(new Agent.Setup(folder, Http.address(listen), replicas, member), Clock.SYSTEM, new Disk());
+            Agent agent = new Agent(new Agent.Setup(folder, HttpServer.parseAddress(listen), replicas, member), Clock.SYSTEM, new Disk());
             Runtime.getRuntime().addShutdownHook(new Thread(agent::close));
             Thread.currentThread().join();
             return YES;
@@ -182,7 +182,7 @@
                 try {
                     HttpResponse<String> answer = client.send(request, HttpResponse.BodyHandlers.ofString());
                     if (answer.statusCode() != 503) {
-                        return new Answer(answer.statusCode(), Json.object(answer.body()));
+                        return new Answer(answer.statusCode(), Json.parse(answer.body()));
                     }
                     causes.append("; ").append(each).append(": ").append(answer.body());
                 } catch (IOException | IllegalArgumentException e) {
@@ -195,7 +195,7 @@
         /** The object for scripts, else the line; the service's no on standard error. */
         int tell(Answer answer, String line) {
             if (json) {
-                spec.commandLine().getOut().println(Json.text(answer.body()));
+                spec.commandLine().getOut().println(Json.encode(answer.body()));
             } else if (answer.yes()) {
                 spec.commandLine().getOut().println(line);
             } else {
@@ -270,7 +270,7 @@
             Calling.Answer answer = calling.call("GET", "/v1/backup", null);
             if (answer.yes()) {
                 try {
-                    new Disk().write(file, Json.text(answer.body()).getBytes(java.nio.charset.StandardCharsets.UTF_8));
+                    new Disk().write(file, Json.encode(answer.body()).getBytes(java.nio.charset.StandardCharsets.UTF_8));
                 } catch (IOException e) {
                     throw new IllegalArgumentException("can't write " + file + ": " + e.getMessage(), e);
                 }
@@ -395,7 +395,7 @@
             entry.put("capacity_hint", capacity);
             entry.put("lease_ms", lease);
             Calling.Answer answer = calling.call("PUT", "/v1/entries/" + uid + (revision == null ? "" : "?if_rev=" + revision),
-                    Json.text(entry));
+                    Json.encode(entry));
             return calling.tell(answer, uid + " at revision " + answer.body().get("rev"));
         }
     }
--- a/registry/src/main/java/mastdrift/registry/Duties.java
+++ b/registry/src/main/java/mastdrift/registry/Duties.java
@@ -224,7 +224,7 @@
     Listing.Line since(long from) {
         List<Map<String, Object>> news = duties.entrySet().stream().filter(each -> each.getValue().rev > from)
                 .map(each -> shown(each.getKey())).toList();
-        return new Listing.Line(rev, Json.text(Map.of("rev", rev, "duties", news)));
+        return new Listing.Line(rev, Json.encode(Map.of("rev", rev, "duties", news)));
     }
 
     Map<String, Object> state() {
--- a/registry/src/main/java/mastdrift/registry/DutyCommands.java
+++ b/registry/src/main/java/mastdrift/registry/DutyCommands.java
@@ -150,7 +150,7 @@
         Map<String, Object> order = new LinkedHashMap<>(more);
         order.put("id", UUID.randomUUID().toString());
         order.put("what", what);
-        Commands.Calling.Answer answer = calling.call("POST", "/v1/duties/" + ROLL + "/order", Json.text(Map.of("order", order)));
+        Commands.Calling.Answer answer = calling.call("POST", "/v1/duties/" + ROLL + "/order", Json.encode(Map.of("order", order)));
         return calling.tell(answer, what + " ordered, number " + answer.body().get("number"));
     }
 
@@ -164,7 +164,7 @@
         int ask(Commands.Calling calling) throws Commands.NoAnswer, InterruptedException {
             try {
                 return order(calling, "start", Map.of("plan", RollPlan.read(file)));
-            } catch (TomlFile.Faults | IOException e) {
+            } catch (TomlFile.ValidationException | IOException e) {
                 throw new IllegalArgumentException(e.getMessage(), e);
             }
         }
--- a/registry/src/main/java/mastdrift/registry/DutyRunner.java
+++ b/registry/src/main/java/mastdrift/registry/DutyRunner.java
@@ -39,14 +39,14 @@
     }
 
     boolean holds() {
-        return tenure.holds(clock.monotonic());
+        return tenure.holds(clock.monotonicMicros());
     }
 
     /** Keeps what it has, or asks for it; then at most one step. */
     Turn turn() {
         try {
             if (!tenure.believes()) {
-                long asked = clock.monotonic();
+                long asked = clock.monotonicMicros();
                 DutyService.Answer answer = service.acquire(duty, who, spanMillis);
                 if (answer.token() == 0) {
                     return Turn.WAITS;
@@ -82,8 +82,8 @@
 
     /** Renews in time; throws Lost where the service says no. */
     private void keep() throws IOException {
-        if (tenure.renews(clock.monotonic())) {
-            long asked = clock.monotonic();
+        if (tenure.renews(clock.monotonicMicros())) {
+            long asked = clock.monotonicMicros();
             if (!service.hold(duty, who, tenure.token()).yes()) {
                 throw new DutyWork.Lost("it is another's");
             }
@@ -93,7 +93,7 @@
     }
 
     private void check() throws DutyWork.Lost {
-        if (!tenure.holds(clock.monotonic())) {
+        if (!tenure.holds(clock.monotonicMicros())) {
             throw new DutyWork.Lost("its term is over");
         }
     }
--- a/registry/src/main/java/mastdrift/registry/Feed.java
+++ b/registry/src/main/java/mastdrift/registry/Feed.java
@@ -10,7 +10,7 @@
 import java.util.function.LongFunction;
 import java.util.function.LongSupplier;
 import mastdrift.common.Clock;
-import mastdrift.common.Http;
+import mastdrift.common.HttpServer;
 
 /** Watches of one list. A watcher is only ever behind by a revision, from which it is told what changed when it can take
     it: nothing is queued for it. On its event loop but for {@link #changed}. */
@@ -25,18 +25,18 @@
     private static final int LINES_MOST = 64;  // kept: most readers are equally far behind
 
     /** A line, and the revision that it brings its reader to. */
-    private record Told(long rev, Http.Shared line) { }
+    private record Told(long rev, HttpServer.SharedLine line) { }
 
     private final class Watcher {
-        private final Http.Lines lines;
+        private final HttpServer.LineStream lines;
         private long rev;
         private long tookAt;
         private long behind;
 
-        Watcher(Http.Lines lines, long rev) {
+        Watcher(HttpServer.LineStream lines, long rev) {
             this.lines = lines;
             this.rev = rev;
-            tookAt = clock.monotonic();
+            tookAt = clock.monotonicMicros();
         }
     }
 
@@ -85,20 +85,20 @@
     }
 
     /** Answers with a watch from that revision on, or at once that there are too many. From the call's own loop. */
-    void watch(Http.Call call, long from) {
+    void watch(HttpServer.Exchange call, long from) {
         if (count >= most) {
-            call.json(503, "{\"error\":\"too many watches\"}", "Retry-After", "1");
+            call.respondJson(503, "{\"error\":\"too many watches\"}", "Retry-After", "1");
             return;
         }
-        Http.Lines lines = call.lines();
+        HttpServer.LineStream lines = call.startLineStream();
         loop.execute(() -> {
             Told first = line(from);
             Watcher watcher = new Watcher(lines, first.rev);
-            lines.line(first.line);
-            watcher.behind = lines.behind();
+            lines.writeLine(first.line);
+            watcher.behind = lines.bytesUntilWritable();
             watchers.add(watcher);
             count = watchers.size();
-            lines.whenEnded(() -> loop.execute(() -> {
+            lines.onClose(() -> loop.execute(() -> {
                 watchers.remove(watcher);
                 count = watchers.size();
             }));
@@ -116,7 +116,7 @@
         }
         return lines.computeIfAbsent(from, at -> {
             Listing.Line line = since.apply(at);
-            return new Told(line.rev(), new Http.Shared(line.text()));
+            return new Told(line.rev(), new HttpServer.SharedLine(line.text()));
         });
     }
 
@@ -124,28 +124,28 @@
         asked.set(false);
         long now = newest.getAsLong();
         for (Watcher watcher : watchers) {
-            if (watcher.rev < now && watcher.lines.writable()) {
+            if (watcher.rev < now && watcher.lines.isWritable()) {
                 Told line = line(watcher.rev);
-                watcher.lines.line(line.line);
-                watcher.behind = watcher.lines.behind();
+                watcher.lines.writeLine(line.line);
+                watcher.behind = watcher.lines.bytesUntilWritable();
                 watcher.rev = line.rev;
-                watcher.tookAt = clock.monotonic();
+                watcher.tookAt = clock.monotonicMicros();
                 told++;
             }
         }
     }
 
     private void alive() {
-        long now = clock.monotonic();
+        long now = clock.monotonicMicros();
         for (Watcher watcher : Set.copyOf(watchers)) {
-            if (watcher.lines.writable()) {
-                watcher.lines.line("");
+            if (watcher.lines.isWritable()) {
+                watcher.lines.writeLine("");
                 watcher.tookAt = now;
-            } else if (watcher.lines.behind() < watcher.behind) {
+            } else if (watcher.lines.bytesUntilWritable() < watcher.behind) {
                 watcher.tookAt = now;  // a long line, of which it takes part after part
-                watcher.behind = watcher.lines.behind();
+                watcher.behind = watcher.lines.bytesUntilWritable();
             } else if (now - watcher.tookAt > SLOW_MICROS) {
-                watcher.lines.cut();
+                watcher.lines.abort();
                 cut++;
             }
         }
--- a/registry/src/main/java/mastdrift/registry/HttpDutyService.java
+++ b/registry/src/main/java/mastdrift/registry/HttpDutyService.java
@@ -46,6 +46,6 @@
 
     private Answer call(String path, Map<String, Object> body) throws IOException {
         HttpReplicas.Answer answer = replicas.call(body == null ? "GET" : "POST", "/v1/duties/" + path, body);
-        return new Answer(answer.yes(), Json.object(answer.body()));
+        return new Answer(answer.yes(), Json.parse(answer.body()));
     }
 }
--- a/registry/src/main/java/mastdrift/registry/HttpEntries.java
+++ b/registry/src/main/java/mastdrift/registry/HttpEntries.java
@@ -7,7 +7,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import mastdrift.common.Http;
+import mastdrift.common.HttpServer;
 import mastdrift.common.Json;
 
 /** Entries by the list service's calls, and hosts by connections of our own. */
@@ -26,7 +26,7 @@
     @Override
     public List<Map<String, Object>> all() throws IOException {
         List<Map<String, Object>> all = new ArrayList<>();
-        Object entries = Json.object(replicas.call("GET", "/v1/entries", null).body()).get("entries");
+        Object entries = Json.parse(replicas.call("GET", "/v1/entries", null).body()).get("entries");
         for (Object each : entries instanceof List<?> list ? list : List.of()) {
             Map<String, Object> entry = new LinkedHashMap<>();
             ((Map<?, ?>) each).forEach((key, value) -> entry.put(key.toString(), value));
@@ -37,7 +37,7 @@
 
     @Override
     public boolean answers(String endpoint) {
-        InetSocketAddress at = Http.address(endpoint);
+        InetSocketAddress at = HttpServer.parseAddress(endpoint);
         try (Socket socket = new Socket()) {
             socket.connect(at, DIAL_MILLIS);
             return true;
--- a/registry/src/main/java/mastdrift/registry/HttpReplicas.java
+++ b/registry/src/main/java/mastdrift/registry/HttpReplicas.java
@@ -43,11 +43,11 @@
         for (int tries = 0; tries < replicas.size(); tries++) {
             HttpRequest request = HttpRequest.newBuilder(URI.create("http://" + replicas.get(at) + path)).timeout(within)
                     .method(method, body == null ? HttpRequest.BodyPublishers.noBody()
-                            : HttpRequest.BodyPublishers.ofString(Json.text(body))).build();
+                            : HttpRequest.BodyPublishers.ofString(Json.encode(body))).build();
             try {
                 HttpResponse<byte[]> answer = client.send(request, HttpResponse.BodyHandlers.ofByteArray());
                 if (answer.statusCode() != NOT_DONE && answer.statusCode() != NOT_KNOWN) {
-                    Json.object(answer.body());  // what is no JSON is no answer
+                    Json.parse(answer.body());  // what is no JSON is no answer
                     return new Answer(answer.statusCode(), answer.body());
                 }
                 last = new IOException(replicas.get(at) + " answers " + answer.statusCode());
--- a/registry/src/main/java/mastdrift/registry/Identity.java
+++ b/registry/src/main/java/mastdrift/registry/Identity.java
@@ -64,13 +64,13 @@
         if (content == null) {
             return null;
         }
-        Map<String, Object> object = Json.object(content);
+        Map<String, Object> object = Json.parse(content);
         return new Identity(object.get("name").toString(), object.get("id").toString(),
                 ((Number) object.get("mark")).longValue());
     }
 
     void write(Path folder, Disk disk) throws IOException {
         Files.createDirectories(folder);
-        disk.write(file(folder), Json.text(Map.of("name", name, "id", id, "mark", mark)).getBytes(StandardCharsets.UTF_8));
+        disk.write(file(folder), Json.encode(Map.of("name", name, "id", id, "mark", mark)).getBytes(StandardCharsets.UTF_8));
     }
 }
--- a/registry/src/main/java/mastdrift/registry/Listing.java
+++ b/registry/src/main/java/mastdrift/registry/Listing.java
@@ -158,6 +158,6 @@
         line.put("rev", rev);
         line.put("all", all);
         line.put("targets", of.stream().map(Entry::target).toList());
-        return new Line(rev, Json.text(line));
+        return new Line(rev, Json.encode(line));
     }
 }
--- a/registry/src/main/java/mastdrift/registry/Membership.java
+++ b/registry/src/main/java/mastdrift/registry/Membership.java
@@ -74,14 +74,14 @@
         this.detector = detector;
         this.raises = raises;
         this.replicas = new HttpReplicas(replicas, SERVICE_WITHIN);
-        incarnation = clock.wall();
-        heardAt = clock.monotonic();
+        incarnation = clock.wallMillis();
+        heardAt = clock.monotonicMicros();
         calls.scheduleWithFixedDelay(this::call, EVERY_MILLIS, EVERY_MILLIS, TimeUnit.MILLISECONDS);
         service.scheduleWithFixedDelay(this::serve, 0, EVERY_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     private void call() {
-        long now = clock.monotonic();
+        long now = clock.monotonicMicros();
         List<Members.Member> due = new ArrayList<>();
         synchronized (detector) {
             detector.turn(now).forEach(name -> due.add(detector.member(name)));
@@ -90,7 +90,7 @@
             client.sendAsync(HttpRequest.newBuilder(URI.create("http://" + member.address())).timeout(ANSWER_WITHIN).build(),
                     HttpResponse.BodyHandlers.discarding()).thenAccept(answer -> {
                         synchronized (detector) {
-                            detector.heard(clock.monotonic(), member.name());
+                            detector.heard(clock.monotonicMicros(), member.name());
                         }
                     });
         }
@@ -125,7 +125,7 @@
 
     private HttpReplicas.Answer post(String what, Map<String, Object> body) throws IOException {
         HttpReplicas.Answer answer = replicas.call("POST", "/v1/members/" + setup.name() + "/" + what, body);
-        heardAt = clock.monotonic();
+        heardAt = clock.monotonicMicros();
         return answer;
     }
 
@@ -133,7 +133,7 @@
         asked = true;
         HttpReplicas.Answer answer = post("join", own());
         if (answer.status() == OTHERS && raises
-                && Json.object(answer.body()).get("incarnation") instanceof Number known) {
+                && Json.parse(answer.body()).get("incarnation") instanceof Number known) {
             incarnation = known.longValue() + 1;  // this start is the newer one
             answer = post("join", own());
         }
@@ -146,8 +146,8 @@
 
     /** The newest view that some replica has; an older one than was seen is passed over. */
     private void look() throws IOException {
-        Map<String, Object> shown = Json.object(replicas.call("GET", "/v1/members?after=" + detector.view(), null).body());
-        heardAt = clock.monotonic();
+        Map<String, Object> shown = Json.parse(replicas.call("GET", "/v1/members?after=" + detector.view(), null).body());
+        heardAt = clock.monotonicMicros();
         if (!(shown.get("members") instanceof List<?> given)) {
             return;
         }
@@ -155,10 +155,10 @@
         long view = ((Number) shown.get("view")).longValue();
         boolean newer;
         synchronized (detector) {
-            newer = detector.take(clock.monotonic(), view, present);
+            newer = detector.take(clock.monotonicMicros(), view, present);
         }
         if (newer) {
-            LOG.info("view {} at {} of {}", view, clock.monotonic(), String.join(",", new TreeSet<>(present.stream()
+            LOG.info("view {} at {} of {}", view, clock.monotonicMicros(), String.join(",", new TreeSet<>(present.stream()
                     .map(member -> member.name() + "#" + member.incarnation()).toList())));
             Members.Member mine = present.stream().filter(member -> member.name().equals(setup.name())).findAny().orElse(null);
             if (mine == null) {
@@ -185,7 +185,7 @@
 
     private void report() throws IOException {
         Detector.Opinion opinion;
-        long now = clock.monotonic();
+        long now = clock.monotonicMicros();
         synchronized (detector) {
             opinion = detector.opinion(now);
         }
@@ -209,8 +209,8 @@
         Map<String, Object> status = new LinkedHashMap<>();
         synchronized (detector) {
             status.put("view", detector.view());
-            status.put("view_age_s", (clock.monotonic() - heardAt) / 1e6);
-            status.put("suspicion", detector.phi(clock.monotonic()));
+            status.put("view_age_s", (clock.monotonicMicros() - heardAt) / 1e6);
+            status.put("suspicion", detector.phi(clock.monotonicMicros()));
         }
         return status;
     }
--- a/registry/src/main/java/mastdrift/registry/Peers.java
+++ b/registry/src/main/java/mastdrift/registry/Peers.java
@@ -62,7 +62,7 @@
                     HttpResponse<byte[]> answer = client.send(HttpRequest.newBuilder(URI.create("http://"
                             + peer.getValue().http + "/v1/registry")).timeout(WITHIN).build(),
                             HttpResponse.BodyHandlers.ofByteArray());
-                    answers.put(peer.getKey(), Json.object(answer.body()));
+                    answers.put(peer.getKey(), Json.parse(answer.body()));
                 } catch (IOException | IllegalArgumentException e) {
                     LOG.debug("{} does not answer: {}", peer.getKey(), e.toString());
                 }
@@ -159,7 +159,7 @@
                 others.add(address);
             }
         });
-        String body = Json.text(Map.of("id", identity.id(), "address", all.get(name).raft));
+        String body = Json.encode(Map.of("id", identity.id(), "address", all.get(name).raft));
         for (int turn = 0; ; turn++) {
             try {
                 HttpResponse<String> answer = client.send(HttpRequest.newBuilder(URI.create("http://"
--- a/registry/src/main/java/mastdrift/registry/RaftCatalogue.java
+++ b/registry/src/main/java/mastdrift/registry/RaftCatalogue.java
@@ -65,7 +65,7 @@
         }
         File file = newest.getFile().getPath().toFile();
         try {
-            catalogue.restore(Json.object(disk.read(file.toPath())));
+            catalogue.restore(Json.parse(disk.read(file.toPath())));
         } catch (IllegalArgumentException | ClassCastException e) {
             throw new IOException(file + " is spoilt: " + e.getMessage(), e);
         }
@@ -85,7 +85,7 @@
         byte[] state;
         synchronized (catalogue) {  // commands are applied by another thread
             last = getLastAppliedTermIndex();
-            state = Json.text(catalogue.state()).getBytes(StandardCharsets.UTF_8);
+            state = Json.encode(catalogue.state()).getBytes(StandardCharsets.UTF_8);
         }
         File file = storage.getSnapshotFile(last.getTerm(), last.getIndex());
         disk.write(file.toPath(), state);
@@ -98,7 +98,7 @@
     @Override
     public CompletableFuture<Message> applyTransaction(TransactionContext transaction) {
         RaftProtos.LogEntryProto entry = transaction.getLogEntry();
-        Map<String, Object> command = Json.object(entry.getStateMachineLogEntry().getLogData().toByteArray());
+        Map<String, Object> command = Json.parse(entry.getStateMachineLogEntry().getLogData().toByteArray());
         long before = catalogue.rev() + catalogue.dutiesRev();
         Catalogue.Applied applied;
         synchronized (catalogue) {
--- a/registry/src/main/java/mastdrift/registry/Replica.java
+++ b/registry/src/main/java/mastdrift/registry/Replica.java
@@ -24,7 +24,7 @@
 import java.util.concurrent.TimeUnit;
 import mastdrift.common.Clock;
 import mastdrift.common.Disk;
-import mastdrift.common.Http;
+import mastdrift.common.HttpServer;
 import mastdrift.common.Json;
 import org.apache.ratis.RaftConfigKeys;
 import org.apache.ratis.client.RaftClient;
@@ -92,7 +92,7 @@
     private final Feed feed;
     private final Feed dutyFeed;
     private final Disk disk;
-    private final Http http;
+    private final HttpServer http;
     private final CountDownLatch over = new CountDownLatch(1);
     private final Gauges gauges = new Gauges();
     private volatile RaftServer server;  // null until it is known who this replica is
@@ -122,7 +122,7 @@
                 .put("registry_watches_cut", "Watches cut because nothing was taken for 10 s.", feed::cut)
                 .put("registry_lines", "Lines told to watches.", feed::told)
                 .put("registry_calls_waiting", "Calls that wait for a thread.", () -> calls.getQueue().size());
-        http = Http.listen(loops, setup.listen(), this::handle);
+        http = HttpServer.listen(loops, setup.listen(), this::handle);
         LOG.info("listening on {}:{}", setup.listen().getHostString(), http.port());
     }
 
@@ -241,7 +241,7 @@
     /** The leader's clock as entries of the log: first that it reigns, then what passed since the entry before. */
     private void tick() {
         try {
-            long now = clock.monotonic();
+            long now = clock.monotonicMicros();
             if (!leads) {
                 reigns = false;
                 return;
@@ -266,34 +266,34 @@
     }
 
     private Map<String, Object> send(Map<String, Object> command) throws IOException {
-        RaftClientReply reply = client.io().send(Message.valueOf(Json.text(command)));
+        RaftClientReply reply = client.io().send(Message.valueOf(Json.encode(command)));
         if (!reply.isSuccess()) {
             throw new IOException("not taken: " + reply.getException());
         }
-        return Json.object(reply.getMessage().getContent().toByteArray());
+        return Json.parse(reply.getMessage().getContent().toByteArray());
     }
 
-    private void handle(Http.Call call) throws IOException {
+    private void handle(HttpServer.Exchange call) throws IOException {
         String path = call.path();
         String method = call.method();
         if (path.equals("/v1/endpoints") && method.equals("GET")) {
             list(call);
         } else if (path.equals("/v1/registry") && method.equals("GET")) {
-            call.json(200, Json.text(status()));
+            call.respondJson(200, Json.encode(status()));
         } else if (path.equals("/metrics") && method.equals("GET")) {
-            call.answer(200, "text/plain; version=0.0.4", gauges.text());
+            call.respond(200, "text/plain; version=0.0.4", gauges.text());
         } else if (path.equals("/v1/backup") && method.equals("GET")) {
             write(call, Catalogue.command("read", "what", "state"));
         } else if (path.equals("/v1/restore") && method.equals("POST")) {
-            write(call, Catalogue.command("restore", "state", Json.object(call.body())));
+            write(call, Catalogue.command("restore", "state", Json.parse(call.body())));
         } else if (path.equals("/v1/registry/join") && method.equals("POST")) {
             join(call);
         } else if (path.equals("/v1/entries") && method.equals("GET")) {
-            call.json(200, Json.text(Map.of("rev", catalogue.rev(), "entries", catalogue.shown())));
+            call.respondJson(200, Json.encode(Map.of("rev", catalogue.rev(), "entries", catalogue.shown())));
         } else if (path.startsWith("/v1/entries/") && method.equals("GET")) {
             write(call, Catalogue.command("read", "what", "entry", "name", path.substring("/v1/entries/".length())));
         } else if (path.equals("/v1/renew") && method.equals("POST")) {
-            write(call, Catalogue.command("renew", "uids", Json.object(call.body()).get("uids")));
+            write(call, Catalogue.command("renew", "uids", Json.parse(call.body()).get("uids")));
         } else if (path.startsWith("/v1/entries/") && path.endsWith("/drain") && method.equals("POST")) {
             String uid = path.substring("/v1/entries/".length(), path.length() - "/drain".length());
             write(call, conditions(call, Catalogue.command("drain", "uid", uid)));
@@ -301,65 +301,65 @@
             put(call, path.substring("/v1/entries/".length()));
         } else if (path.startsWith("/v1/entries/") && method.equals("DELETE")) {
             write(call, conditions(call, Catalogue.command("remove", "uid", path.substring("/v1/entries/".length()), "now",
-                    "1".equals(call.query("now")))));
+                    "1".equals(call.queryParameter("now")))));
         } else if (path.equals("/v1/zones") && method.equals("GET")) {
             write(call, Catalogue.command("read", "what", "zones"));
         } else if (path.startsWith("/v1/zones/") && method.equals("POST")) {
             named(call, path.substring("/v1/zones/".length()).split("/"), "zone", "evacuate", "return");
         } else if (path.equals("/v1/members") && method.equals("GET")) {
-            if (call.query("after") != null) {
-                call.json(200, Json.text(catalogue.view(call.number("after", 0))));  // a newer one comes soon enough
+            if (call.queryParameter("after") != null) {
+                call.respondJson(200, Json.encode(catalogue.view(call.queryLong("after", 0))));  // a newer one comes soon enough
             } else {
                 write(call, Catalogue.command("read", "what", "members"));
             }
         } else if (path.startsWith("/v1/members/") && method.equals("POST")) {
             named(call, path.substring("/v1/members/".length()).split("/"), "name", "join", "leave", "report");
         } else if (path.equals("/v1/duties") && method.equals("GET")) {
-            if ("1".equals(call.query("watch"))) {
-                dutyFeed.watch(call, call.number("from", 0));
+            if ("1".equals(call.queryParameter("watch"))) {
+                dutyFeed.watch(call, call.queryLong("from", 0));
             } else {
-                call.json(200, catalogue.dutiesSince(0).text());
+                call.respondJson(200, catalogue.dutiesSince(0).text());
             }
         } else if (path.startsWith("/v1/duties/") && method.equals("GET")) {
             write(call, Catalogue.command("read", "what", "duty", "name", path.substring("/v1/duties/".length())));
         } else if (path.startsWith("/v1/duties/") && method.equals("POST")) {
             named(call, path.substring("/v1/duties/".length()).split("/"), "duty", "acquire", "hold", "release", "record", "order");
         } else {
-            call.json(404, "{\"error\":\"no such call\"}");
+            call.respondJson(404, "{\"error\":\"no such call\"}");
         }
     }
 
     /** {@code NAME/WHAT} of a member, a duty or a zone: the body has the rest of the command. */
-    private void named(Http.Call call, String[] parts, String key, String... known) throws IOException {
+    private void named(HttpServer.Exchange call, String[] parts, String key, String... known) throws IOException {
         if (parts.length != 2 || !List.of(known).contains(parts[1])) {
-            call.json(404, "{\"error\":\"no such call\"}");
+            call.respondJson(404, "{\"error\":\"no such call\"}");
             return;
         }
         Map<String, Object> command = Catalogue.command(parts[1], key, parts[0]);
         if (call.body().length > 0) {
-            Json.object(call.body()).forEach(command::putIfAbsent);
+            Json.parse(call.body()).forEach(command::putIfAbsent);
         }
         write(call, command);
     }
 
     /** Discovery. A caller that has a newer list than this replica says so, and is sent elsewhere. */
-    private void list(Http.Call call) throws IOException {
+    private void list(HttpServer.Exchange call) throws IOException {
         String least = call.header("X-Least-Revision");
         long rev = catalogue.rev();
         if (least != null && Long.parseLong(least) > rev) {
-            call.json(412, Json.text(Map.of("error", "this replica is behind", "rev", rev)));
-        } else if ("1".equals(call.query("watch"))) {
-            feed.watch(call, call.number("from", 0));
-        } else if ("1".equals(call.query("consistent"))) {
+            call.respondJson(412, Json.encode(Map.of("error", "this replica is behind", "rev", rev)));
+        } else if ("1".equals(call.queryParameter("watch"))) {
+            feed.watch(call, call.queryLong("from", 0));
+        } else if ("1".equals(call.queryParameter("consistent"))) {
             write(call, Catalogue.command("read", "what", "list"));
         } else {
-            call.json(200, catalogue.since(0).text());
+            call.respondJson(200, catalogue.since(0).text());
         }
     }
 
     /** A replica of a name that is known comes back under a new id: it takes the old one's place. */
-    private void join(Http.Call call) throws IOException {
-        Map<String, Object> body = Json.object(call.body());
+    private void join(HttpServer.Exchange call) throws IOException {
+        Map<String, Object> body = Json.parse(call.body());
         String id = body.get("id").toString();
         later(call, () -> {
             List<RaftPeer> next = new ArrayList<>();
@@ -371,13 +371,13 @@
             next.add(RaftPeer.newBuilder().setId(id).setAddress(body.get("address").toString()).build());
             RaftClientReply reply = client.admin().setConfiguration(next);
             LOG.info("replica-replaced id={} done={}", id, reply.isSuccess());
-            call.json(reply.isSuccess() ? 200 : 503, Json.text(Map.of("ids", next.stream()
+            call.respondJson(reply.isSuccess() ? 200 : 503, Json.encode(Map.of("ids", next.stream()
                     .map(peer -> peer.getId().toString()).toList())));
         });
     }
 
-    private void put(Http.Call call, String uid) throws IOException {
-        Map<String, Object> entry = new LinkedHashMap<>(Json.object(call.body()));
+    private void put(HttpServer.Exchange call, String uid) throws IOException {
+        Map<String, Object> entry = new LinkedHashMap<>(Json.parse(call.body()));
         entry.put("uid", uid);
         Object span = entry.remove("lease_ms");
         Entry.of(entry);  // what is wrong is told before the log is asked
@@ -385,13 +385,13 @@
     }
 
     /** What a write asks for besides: its entry's revision, and the duty and token for which it is made. */
-    private static Map<String, Object> conditions(Http.Call call, Map<String, Object> command) {
-        if (call.query("token") != null) {
-            command.put("duty", call.query("duty"));
-            command.put("token", call.number("token", 0));
+    private static Map<String, Object> conditions(HttpServer.Exchange call, Map<String, Object> command) {
+        if (call.queryParameter("token") != null) {
+            command.put("duty", call.queryParameter("duty"));
+            command.put("token", call.queryLong("token", 0));
         }
-        if (call.query("if_rev") != null) {
-            command.put("if_rev", call.number("if_rev", 0));
+        if (call.queryParameter("if_rev") != null) {
+            command.put("if_rev", call.queryLong("if_rev", 0));
         }
         return command;
     }
@@ -399,10 +399,10 @@
     /** Through the log. Reads that must see every write go this way too: Ratis 3.2 answers its own linearizable reads without
         asking a majority where its commit index was confirmed before, so that a leader that was frozen answered with what
         others had since changed ({@code rig/plans/registry-leader.toml} found it). */
-    private void write(Http.Call call, Map<String, Object> command) throws IOException {
+    private void write(HttpServer.Exchange call, Map<String, Object> command) throws IOException {
         later(call, () -> {
             Map<String, Object> applied = send(command);
-            call.json(((Number) applied.get("status")).intValue(), Json.text(applied.get("answer")));
+            call.respondJson(((Number) applied.get("status")).intValue(), Json.encode(applied.get("answer")));
         });
     }
 
@@ -411,9 +411,9 @@
     }
 
     /** Off the loop, for it waits for the other replicas; at once refused where no leader is known or too many wait. */
-    private void later(Http.Call call, Work work) throws IOException {
+    private void later(HttpServer.Exchange call, Work work) throws IOException {
         if (server == null || client == null || info().getLeaderId() == null || aloneAsLeader()) {
-            call.json(503, "{\"error\":\"no leader\"}", "Retry-After", "0.5");
+            call.respondJson(503, "{\"error\":\"no leader\"}", "Retry-After", "0.5");
             return;
         }
         try {
@@ -421,11 +421,11 @@
                 try {
                     work.run();
                 } catch (IOException | RuntimeException e) {
-                    call.json(504, Json.text(Map.of("error", "not known whether it was done: " + e.getMessage())));
+                    call.respondJson(504, Json.encode(Map.of("error", "not known whether it was done: " + e.getMessage())));
                 }
             });
         } catch (RejectedExecutionException e) {
-            call.json(503, "{\"error\":\"too many calls\"}", "Retry-After", "0.5");
+            call.respondJson(503, "{\"error\":\"too many calls\"}", "Retry-After", "0.5");
         }
     }
 
--- a/registry/src/main/java/mastdrift/registry/RollPlan.java
+++ b/registry/src/main/java/mastdrift/registry/RollPlan.java
@@ -6,7 +6,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import mastdrift.common.Http;
+import mastdrift.common.HttpServer;
 import mastdrift.common.TomlFile;
 
 /** A roll as its file has it; all that is wrong is told at once, with file, line and key. */
@@ -15,21 +15,21 @@
     private RollPlan() { }
 
     /** As it goes into the log. */
-    static Map<String, Object> read(Path file) throws TomlFile.Faults, IOException {
+    static Map<String, Object> read(Path file) throws TomlFile.ValidationException, IOException {
         return plan(TomlFile.read(file));
     }
 
     /** The same for a text. */
-    static Map<String, Object> parse(String text, String name) throws TomlFile.Faults {
+    static Map<String, Object> parse(String text, String name) throws TomlFile.ValidationException {
         return plan(TomlFile.parse(text, name));
     }
 
-    private static Map<String, Object> plan(TomlFile file) throws TomlFile.Faults {
-        TomlFile.Section top = file.top();
+    private static Map<String, Object> plan(TomlFile file) throws TomlFile.ValidationException {
+        TomlFile.Section top = file.root();
         Map<String, Object> plan = new LinkedHashMap<>();
-        plan.put("keep", top.real("keep", 0.5, 0, 1));
-        plan.put("settle", top.whole("settle_requests", 0, 0, 1_000_000));
-        String replace = top.line("replace", null);
+        plan.put("keep", top.number("keep", 0.5, 0, 1));
+        plan.put("settle", top.integer("settle_requests", 0, 0, 1_000_000));
+        String replace = top.string("replace", null);
         if (replace != null) {
             plan.put("replace", replace);
         }
@@ -37,24 +37,24 @@
         List<TomlFile.Section> sections = top.sections("gateway");
         for (TomlFile.Section g : sections) {
             Map<String, Object> gateway = new LinkedHashMap<>();
-            gateway.put("name", g.text("name", "gateway-" + (gateways.size() + 1)));
-            String admin = g.text("admin", null);
+            gateway.put("name", g.name("name", "gateway-" + (gateways.size() + 1)));
+            String admin = g.name("admin", null);
             try {
-                Http.address(String.valueOf(admin));
+                HttpServer.parseAddress(String.valueOf(admin));
             } catch (IllegalArgumentException e) {
-                g.fault("admin", e.getMessage());
+                g.addError("admin", e.getMessage());
             }
             gateway.put("admin", admin);
-            gateway.put("zone", g.text("zone", "one"));
-            g.done();
+            gateway.put("zone", g.name("zone", "one"));
+            g.rejectUnknownKeys();
             gateways.add(gateway);
         }
         if (sections.isEmpty()) {
-            top.fault("gateway", "expected at least one, each begun by [[gateway]]");
+            top.addError("gateway", "expected at least one, each begun by [[gateway]]");
         }
         plan.put("gateways", gateways);
-        top.done();
-        file.check();
+        top.rejectUnknownKeys();
+        file.throwIfInvalid();
         return plan;
     }
 }
--- a/registry/src/main/java/mastdrift/registry/ZoneCommands.java
+++ b/registry/src/main/java/mastdrift/registry/ZoneCommands.java
@@ -97,7 +97,7 @@
         int move(Commands.Calling calling, String what, Map<String, Object> more) throws Commands.NoAnswer, InterruptedException {
             Map<String, Object> body = new LinkedHashMap<>(more);
             body.put("over_ms", over);
-            Commands.Calling.Answer answer = calling.call("POST", "/v1/zones/" + name + "/" + what, Json.text(body));
+            Commands.Calling.Answer answer = calling.call("POST", "/v1/zones/" + name + "/" + what, Json.encode(body));
             return calling.tell(answer, answer.yes() ? line(answer.body()) : "");
         }
     }
--- a/registry/src/test/java/mastdrift/registry/AgentListTest.java
+++ b/registry/src/test/java/mastdrift/registry/AgentListTest.java
@@ -13,7 +13,7 @@
     private final AgentList list = new AgentList();
 
     private static String line(long rev, boolean all, String... uids) {
-        return Json.text(Map.of("rev", rev, "all", all, "targets", java.util.Arrays.stream(uids).map(uid -> {
+        return Json.encode(Map.of("rev", rev, "all", all, "targets", java.util.Arrays.stream(uids).map(uid -> {
             String[] parts = uid.split(" ");
             return Map.of("uid", parts[0], "endpoint", "127.0.0.1:9", "state", parts.length > 1 ? parts[1] : "in_service");
         }).toList()));
@@ -38,7 +38,7 @@
     void aWholeListIsToldAsWhatItChanged() {
         list.take(line(5, true, "a", "b"));
         list.take(line(8, true, "b", "c"));
-        Map<String, Object> news = Json.object(list.since(5).text());
+        Map<String, Object> news = Json.parse(list.since(5).text());
         assertEquals(false, news.get("all"));
         assertEquals(List.of("c in_service", "a terminated"), ((List<?>) news.get("targets")).stream().map(each ->
                 ((Map<?, ?>) each).get("uid") + " " + ((Map<?, ?>) each).get("state")).toList());
--- a/registry/src/test/java/mastdrift/registry/CatalogueTest.java
+++ b/registry/src/test/java/mastdrift/registry/CatalogueTest.java
@@ -56,13 +56,13 @@
         put("a2", "x", 0);
         put("a1", "y", 0);
         apply("remove", "uid", "a2", "now", true);
-        Map<String, Object> line = Json.object(catalogue.since(1).text());
+        Map<String, Object> line = Json.parse(catalogue.since(1).text());
         assertEquals(List.of("a1 in_service", "a2 terminated"), targets(line));
         assertEquals(false, line.get("all"));
-        assertEquals(List.of("a2 terminated"), targets(Json.object(catalogue.since(3).text())));
-        assertEquals(List.of(), targets(Json.object(catalogue.since(4).text())));
-        assertEquals(true, Json.object(catalogue.since(99).text()).get("all"));
-        assertEquals(List.of("a1 in_service"), targets(Json.object(catalogue.since(0).text())));
+        assertEquals(List.of("a2 terminated"), targets(Json.parse(catalogue.since(3).text())));
+        assertEquals(List.of(), targets(Json.parse(catalogue.since(4).text())));
+        assertEquals(true, Json.parse(catalogue.since(99).text()).get("all"));
+        assertEquals(List.of("a1 in_service"), targets(Json.parse(catalogue.since(0).text())));
     }
 
     private static List<String> targets(Map<String, Object> line) {
@@ -77,8 +77,8 @@
             put("g" + i, "x", 0);
             apply("remove", "uid", "g" + i, "now", true);
         }
-        assertEquals(true, Json.object(catalogue.since(2).text()).get("all"));
-        assertEquals(false, Json.object(catalogue.since(catalogue.rev() - 10).text()).get("all"));
+        assertEquals(true, Json.parse(catalogue.since(2).text()).get("all"));
+        assertEquals(false, Json.parse(catalogue.since(catalogue.rev() - 10).text()).get("all"));
     }
 
     @Test
@@ -169,12 +169,12 @@
             any(random, catalogue);
             if (i % 50 == 0) {
                 Catalogue other = new Catalogue();
-                other.restore(Json.object(Json.text(catalogue.state())));
-                assertEquals(Json.text(catalogue.state()), Json.text(other.state()));
+                other.restore(Json.parse(Json.encode(catalogue.state())));
+                assertEquals(Json.encode(catalogue.state()), Json.encode(other.state()));
                 Random one = new Random(i);
                 Random two = new Random(i);
                 Catalogue copy = new Catalogue();
-                copy.restore(Json.object(Json.text(catalogue.state())));
+                copy.restore(Json.parse(Json.encode(catalogue.state())));
                 for (int j = 0; j < 50; j++) {
                     assertEquals(any(one, other), any(two, copy));
                 }
@@ -201,14 +201,14 @@
     void aBackupIsRestoredIntoAnEmptyServiceAndRevisionsGoOnBeyondIt() {
         put("a0", "x", 1000);
         put("a1", "x", 0);
-        Map<String, Object> backup = Json.object(Json.text(catalogue.state()));
+        Map<String, Object> backup = Json.parse(Json.encode(catalogue.state()));
         assertEquals(409, apply("restore", "state", backup).status());
         Catalogue other = new Catalogue();
         other.apply(Catalogue.command("tick", "elapsed", 1500));
         other.apply(Catalogue.command("tick", "elapsed", 1500));
         assertEquals(200, other.apply(Catalogue.command("restore", "state", backup)).status());
         assertEquals(2 + Catalogue.RESTORED_JUMP, other.rev());
-        assertEquals(true, Json.object(other.since(2).text()).get("all"));
+        assertEquals(true, Json.parse(other.since(2).text()).get("all"));
         other.apply(Catalogue.command("tick", "elapsed", 900));
         assertEquals(2, other.size());
         assertEquals(400, new Catalogue().apply(Catalogue.command("restore", "state", Map.of("format", 7))).status());
--- a/registry/src/test/java/mastdrift/registry/DutiesTest.java
+++ b/registry/src/test/java/mastdrift/registry/DutiesTest.java
@@ -180,12 +180,12 @@
                 assertTrue(other == null || other.equals(duty.get("holder")), () -> "one token, two holders: " + path);
             }
         }
-        assertEquals(Json.text(state.state()), Json.text(restored(state).state()));
+        assertEquals(Json.encode(state.state()), Json.encode(restored(state).state()));
     }
 
     private static Catalogue restored(Catalogue state) {
         Catalogue copy = new Catalogue();
-        copy.restore(Json.object(Json.text(state.state())));
+        copy.restore(Json.parse(Json.encode(state.state())));
         return copy;
     }
 }
--- a/registry/src/test/java/mastdrift/registry/EvacuationsTest.java
+++ b/registry/src/test/java/mastdrift/registry/EvacuationsTest.java
@@ -54,7 +54,7 @@
         put("b", 77);
         assertEquals(11, out("b"));
         Catalogue other = new Catalogue();
-        other.restore(Json.object(Json.text(catalogue.state()).getBytes(java.nio.charset.StandardCharsets.UTF_8)));
+        other.restore(Json.parse(Json.encode(catalogue.state()).getBytes(java.nio.charset.StandardCharsets.UTF_8)));
         catalogue = other;
         put("b", 4);
         assertEquals(11, out("b"));
--- a/registry/src/test/java/mastdrift/registry/MembersTest.java
+++ b/registry/src/test/java/mastdrift/registry/MembersTest.java
@@ -114,8 +114,8 @@
         ten();
         report(watchersOf("p4").get(0), 1, List.of("p4"));
         Catalogue copy = new Catalogue();
-        copy.restore(Json.object(Json.text(catalogue.state())));
-        assertEquals(Json.text(catalogue.state()), Json.text(copy.state()));
+        copy.restore(Json.parse(Json.encode(catalogue.state())));
+        assertEquals(Json.encode(catalogue.state()), Json.encode(copy.state()));
     }
 
     @Test
--- a/registry/src/test/java/mastdrift/registry/RollTest.java
+++ b/registry/src/test/java/mastdrift/registry/RollTest.java
@@ -71,11 +71,11 @@
         }
 
         Catalogue.Applied apply(Map<String, Object> command) {
-            return log.apply(Json.object(Json.text(command)));
+            return log.apply(Json.parse(Json.encode(command)));
         }
 
         Map<String, Object> state() {
-            return DutyRunner.state(Json.object(Json.text(log.duty("roll"))));
+            return DutyRunner.state(Json.parse(Json.encode(log.duty("roll"))));
         }
 
         /** Time passes, and who is not stopped or in the middle of something does what it does. */
@@ -168,7 +168,7 @@
             if (trouble > 0 && world.random.nextDouble() < trouble) {
                 throw new IOException("done, and the answer is lost");
             }
-            return new Answer(applied.status() == 200, Json.object(Json.text(applied.answer())));
+            return new Answer(applied.status() == 200, Json.parse(Json.encode(applied.answer())));
         }
 
         @Override
@@ -236,12 +236,12 @@
         }
 
         @Override
-        public long monotonic() {
+        public long monotonicMicros() {
             return world.broken == Broken.OWN_CHECK ? 1 : (long) (world.now * rate);
         }
 
         @Override
-        public long wall() {
+        public long wallMillis() {
             return world.now / 1000;
         }
     }
@@ -353,13 +353,13 @@
 
     @Test
     void aPoorPlanIsToldWithAllItsFaults() {
-        TomlFile.Faults faults = assertThrows(TomlFile.Faults.class, () -> RollPlan.parse("""
+        TomlFile.ValidationException faults = assertThrows(TomlFile.ValidationException.class, () -> RollPlan.parse("""
                 keep = 2
                 [[gateway]]
                 admin = "nowhere"
                 """, "roll.toml"));
         assertEquals(List.of("roll.toml:1: keep: expected 0 to 1, not 2",
-                "roll.toml:3: gateway[0].admin: expected address:port, not nowhere"), faults.lines());
-        assertThrows(TomlFile.Faults.class, () -> RollPlan.parse("keep = 0.5\n", "roll.toml"));
+                "roll.toml:3: gateway[0].admin: expected address:port, not nowhere"), faults.errors());
+        assertThrows(TomlFile.ValidationException.class, () -> RollPlan.parse("keep = 0.5\n", "roll.toml"));
     }
 }
--- a/registry/src/test/java/mastdrift/registry/ServiceTest.java
+++ b/registry/src/test/java/mastdrift/registry/ServiceTest.java
@@ -30,7 +30,7 @@
 import java.util.concurrent.TimeUnit;
 import mastdrift.common.Clock;
 import mastdrift.common.Disk;
-import mastdrift.common.Http;
+import mastdrift.common.HttpServer;
 import mastdrift.common.Json;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
@@ -106,7 +106,7 @@
         assertEquals(0, run("endpoints", "list"));
         assertTrue(out.contains("host-1") && out.contains("terminating") && out.contains("revision 2"), out);
         assertEquals(0, run("endpoints", "list", "--json"));
-        assertEquals(2, Json.object(out).get("rev"));
+        assertEquals(2, Json.parse(out).get("rev"));
         assertEquals(0, run("endpoints", "watch", "--lines", "1"));
         assertTrue(out.contains("\"uid\":\"host-1\""), out);
         Path backup = folder.resolve("backup");
@@ -188,12 +188,12 @@
         CountDownLatch joining = new CountDownLatch(1);
         CountDownLatch left = new CountDownLatch(1);
         EventLoopGroup loops = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-        Http service = Http.listen(loops, new InetSocketAddress("127.0.0.1", 0), call -> {
+        HttpServer service = HttpServer.listen(loops, new InetSocketAddress("127.0.0.1", 0), call -> {
             if (call.path().endsWith("/join")) {
                 joining.countDown();  // and no answer
             } else if (call.path().endsWith("/leave")) {
                 left.countDown();
-                call.json(200, "{}");
+                call.respondJson(200, "{}");
             }
         });
         Membership member = new Membership(new Membership.Setup("agent-1", "agent", "a", "127.0.0.1:1/v1/agent"),
@@ -210,14 +210,14 @@
     void anAgentFollowsAServiceThatMoves() throws Exception {
         int to = port();
         EventLoopGroup loops = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-        Http.Handler service = call -> {
+        HttpServer.Handler service = call -> {
             if (call.path().equals("/v1/registry")) {
-                call.json(200, "{\"members\":{\"registry-1\":{\"id\":\"r~1\",\"mark\":1,\"http\":\"127.0.0.1:" + to + "\"}}}");
+                call.respondJson(200, "{\"members\":{\"registry-1\":{\"id\":\"r~1\",\"mark\":1,\"http\":\"127.0.0.1:" + to + "\"}}}");
             } else {
-                call.lines().line("{\"rev\":1,\"all\":true,\"targets\":[{\"uid\":\"h\",\"endpoint\":\"127.0.0.1:1\"}]}");
+                call.startLineStream().writeLine("{\"rev\":1,\"all\":true,\"targets\":[{\"uid\":\"h\",\"endpoint\":\"127.0.0.1:1\"}]}");
             }
         };
-        Http before = Http.listen(loops, new InetSocketAddress("127.0.0.1", 0), service);
+        HttpServer before = HttpServer.listen(loops, new InetSocketAddress("127.0.0.1", 0), service);
         Agent.Setup setup = new Agent.Setup(folder.resolve("agent"), new InetSocketAddress("127.0.0.1", port()),
                 List.of(new InetSocketAddress("127.0.0.1", before.port())), null);
         try (Agent agent = new Agent(setup, Clock.SYSTEM, new Disk())) {
@@ -225,7 +225,7 @@
         }
         before.close();
         CountDownLatch asked = new CountDownLatch(1);
-        Http after = Http.listen(loops, new InetSocketAddress("127.0.0.1", to), call -> {
+        HttpServer after = HttpServer.listen(loops, new InetSocketAddress("127.0.0.1", to), call -> {
             asked.countDown();
             service.handle(call);
         });
@@ -276,7 +276,7 @@
             assertTrue(list.body().contains("\"uid\":\"host-1\""), list.body());
             String status = client.send(HttpRequest.newBuilder(URI.create(at + "/v1/agent")).build(),
                     HttpResponse.BodyHandlers.ofString()).body();
-            assertEquals("file", Json.object(status).get("source"));
+            assertEquals("file", Json.parse(status).get("source"));
         }
         Path file = setup.folder().resolve("list.json");
         byte[] bytes = Files.readAllBytes(file);
--- a/rig/src/main/java/mastdrift/rig/Crowd.java
+++ b/rig/src/main/java/mastdrift/rig/Crowd.java
@@ -22,8 +22,8 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.BooleanSupplier;
 import java.util.stream.IntStream;
-import mastdrift.common.Follow;
-import mastdrift.common.Http;
+import mastdrift.common.LineStreamClient;
+import mastdrift.common.HttpServer;
 import mastdrift.common.Json;
 import org.HdrHistogram.Histogram;
 
@@ -74,7 +74,7 @@
             RigPlan plan = PlanFile.parse("name = \"crowd\"\nrelay = false\n[registry]\nreplicas = " + replicas, "crowd");
             Program.delete(folder);
             stage = new Stage(plan, 1, new Stage.Setting(root, true, Variants.NONE), LANE, folder, new History());
-        } catch (mastdrift.common.TomlFile.Faults e) {
+        } catch (mastdrift.common.TomlFile.ValidationException e) {
             throw new IllegalStateException(e);
         }
         this.replicas = stage.replicasFor(Stage.CLIENTS);
@@ -146,8 +146,8 @@
     private void watch(int number) {
         Reader reader = new Reader();
         readers.add(reader);
-        InetSocketAddress at = Http.address(replicas.get(number % replicas.size()));
-        Follow.begin(loops.next(), at, "/v1/endpoints?watch=1&from=0", Map.of(), (int) WITHIN.toMillis(), SILENCE_MILLIS, line -> {
+        InetSocketAddress at = HttpServer.parseAddress(replicas.get(number % replicas.size()));
+        LineStreamClient.open(loops.next(), at, "/v1/endpoints?watch=1&from=0", Map.of(), (int) WITHIN.toMillis(), SILENCE_MILLIS, line -> {
             if (!line.isEmpty()) {
                 lines.incrementAndGet();
                 bytes.addAndGet(line.length());
@@ -214,7 +214,7 @@
         entry.put("model", "std");
         entry.put("capacity_hint", capacity);
         long began = History.now();
-        return new Change(call("PUT", "/v1/entries/" + uid, Json.text(entry)), began);
+        return new Change(call("PUT", "/v1/entries/" + uid, Json.encode(entry)), began);
     }
 
     /** As callers do: one that is told that nothing was done comes again. */
@@ -230,7 +230,7 @@
             throw new IOException(method + " " + path + ": " + answer.statusCode() + " " + new String(answer.body(),
                     java.nio.charset.StandardCharsets.UTF_8));
         }
-        return ((Number) Json.object(answer.body()).get("rev")).longValue();
+        return ((Number) Json.parse(answer.body()).get("rev")).longValue();
     }
 
     private HttpResponse<byte[]> send(String at, String method, String path, String body) throws IOException,
--- a/rig/src/main/java/mastdrift/rig/History.java
+++ b/rig/src/main/java/mastdrift/rig/History.java
@@ -52,11 +52,11 @@
             all.put("by", by);
             all.put("op", op);
             all.putAll(facts);
-            return Json.text(all);
+            return Json.encode(all);
         }
 
         static Event parse(String line) {
-            Map<String, Object> all = Json.object(line);
+            Map<String, Object> all = Json.parse(line);
             Object end = all.remove("end");
             long start = ((Number) all.remove("start")).longValue();
             return new Event(start, end instanceof Number number ? number.longValue() : NEVER, all.remove("by").toString(),
--- a/rig/src/main/java/mastdrift/rig/Hooked.java
+++ b/rig/src/main/java/mastdrift/rig/Hooked.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.CountDownLatch;
 import mastdrift.common.Clock;
 import mastdrift.common.Disk;
-import mastdrift.common.Http;
+import mastdrift.common.HttpServer;
 import mastdrift.registry.Agent;
 import mastdrift.registry.Catalogue;
 import mastdrift.registry.Detector;
@@ -43,8 +43,8 @@
             Map<String, Peers.Address> peers = new LinkedHashMap<>();
             rest.subList(4, rest.size()).forEach(peer -> peers.put(peer.split("=")[0],
                     Peers.Address.of(peer.split("=")[1])));
-            Replica replica = new Replica(new Replica.Setup(rest.get(0), Path.of(rest.get(1)), Http.address(rest.get(2)),
-                    Http.address(rest.get(3)), peers, WATCHES_MOST), hooks, variant(args[1], hooks), hooks.disk());
+            Replica replica = new Replica(new Replica.Setup(rest.get(0), Path.of(rest.get(1)), HttpServer.parseAddress(rest.get(2)),
+                    HttpServer.parseAddress(rest.get(3)), peers, WATCHES_MOST), hooks, variant(args[1], hooks), hooks.disk());
             Runtime.getRuntime().addShutdownHook(new Thread(() -> {
                 try {
                     replica.close();
@@ -55,8 +55,8 @@
             replica.begin();
         } else if (args[2].equals("member")) {
             List<String> replicas = rest.subList(5, rest.size());
-            Agent agent = new Agent(new Agent.Setup(Path.of(rest.get(2)), Http.address(rest.get(3)),
-                    replicas.stream().map(Http::address).toList(), null), hooks, hooks.disk());
+            Agent agent = new Agent(new Agent.Setup(Path.of(rest.get(2)), HttpServer.parseAddress(rest.get(3)),
+                    replicas.stream().map(HttpServer::parseAddress).toList(), null), hooks, hooks.disk());
             Membership membership = new Membership(new Membership.Setup(rest.get(0), "agent", rest.get(1), rest.get(4)
                     + "/v1/agent"), replicas, hooks, detector(args[1], rest.get(0)), !args[1].equals(Variants.INCARNATION_KEPT));
             Runtime.getRuntime().addShutdownHook(new Thread(() -> {
@@ -66,8 +66,8 @@
         } else if (args[2].equals("duty")) {
             DutyCommands.run("roll", rest.get(0), Long.parseLong(rest.get(1)), rest.subList(2, rest.size()), hooks, end());
         } else {
-            Agent agent = new Agent(new Agent.Setup(Path.of(rest.get(0)), Http.address(rest.get(1)),
-                    rest.subList(2, rest.size()).stream().map(Http::address).toList(), null), hooks, hooks.disk());
+            Agent agent = new Agent(new Agent.Setup(Path.of(rest.get(0)), HttpServer.parseAddress(rest.get(1)),
+                    rest.subList(2, rest.size()).stream().map(HttpServer::parseAddress).toList(), null), hooks, hooks.disk());
             Runtime.getRuntime().addShutdownHook(new Thread(agent::close));
         }
         Thread.currentThread().join();
@@ -132,13 +132,13 @@
         }
 
         @Override
-        public synchronized long monotonic() {
+        public synchronized long monotonicMicros() {
             look();
             return (long) (shown / 1000);
         }
 
         @Override
-        public synchronized long wall() {
+        public synchronized long wallMillis() {
             look();
             return System.currentTimeMillis() + jump;
         }
@@ -146,12 +146,12 @@
         Disk disk() {
             return new Disk() {
                 @Override
-                protected void put(FileChannel to, ByteBuffer all) throws IOException {
+                protected void writeFully(FileChannel to, ByteBuffer all) throws IOException {
                     look();
                     if (full) {
                         throw new IOException("No space left on device (by the rig)");
                     }
-                    super.put(to, all);
+                    super.writeFully(to, all);
                 }
             };
         }
@@ -181,13 +181,13 @@
                 }
             };
             case "lease-by-own-clock" -> new Catalogue() {
-                private final long began = clock.wall();
+                private final long began = clock.wallMillis();
                 private long logTime = -1;
 
                 @Override
                 protected boolean lapses(String uid, long until) {
                     logTime = logTime < 0 ? ((Number) state().get("time")).longValue() : logTime;
-                    return until <= logTime + clock.wall() - began;
+                    return until <= logTime + clock.wallMillis() - began;
                 }
             };
             case "watch-skips-on-resume" -> new Catalogue() {
--- a/rig/src/main/java/mastdrift/rig/Lists.java
+++ b/rig/src/main/java/mastdrift/rig/Lists.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.concurrent.TimeUnit;
-import mastdrift.common.Http;
+import mastdrift.common.HttpServer;
 import mastdrift.common.Json;
 
 /** The stand-in for the platform's discovery (PROTOCOL, "Discovery"): one address for each gateway, at which hosts have the
@@ -26,7 +26,7 @@
         String endpoint(String gateway, String host);
     }
 
-    private record Watcher(String gateway, Http.Lines lines) { }
+    private record Watcher(String gateway, HttpServer.LineStream lines) { }
 
     private final EventLoop loop;
     private final Reach reach;
@@ -34,7 +34,7 @@
     private final History history;
     private final Map<String, Entry> entries = new TreeMap<>();
     private final List<Watcher> watchers = new ArrayList<>();
-    private final List<Http> servers = new ArrayList<>();
+    private final List<HttpServer> servers = new ArrayList<>();
     private long rev;
 
     /** {@code hides} tells gateways nothing of drains, though the history has it that they were told. */
@@ -43,13 +43,13 @@
         this.loop = loop;
         this.reach = reach;
         this.history = history;
-        loop.scheduleWithFixedDelay(() -> watchers.forEach(watcher -> watcher.lines.line("")), ALIVE_SECONDS, ALIVE_SECONDS,
+        loop.scheduleWithFixedDelay(() -> watchers.forEach(watcher -> watcher.lines.writeLine("")), ALIVE_SECONDS, ALIVE_SECONDS,
                 TimeUnit.SECONDS);
     }
 
     /** Answers that gateway there. */
     void serve(String gateway, InetSocketAddress at) throws IOException {
-        servers.add(Http.listen(loop, at, call -> handle(gateway, call)));
+        servers.add(HttpServer.listen(loop, at, call -> handle(gateway, call)));
     }
 
     /** A change, told to all that watch. */
@@ -61,7 +61,7 @@
             long now = History.now();
             history.add(now, now, "discovery", "listed", Map.of("host", uid, "state", state, "rev", rev));
             for (Watcher watcher : watchers) {
-                watcher.lines.line(list(watcher.gateway, rev, false, List.of(entry)));
+                watcher.lines.writeLine(list(watcher.gateway, rev, false, List.of(entry)));
             }
         }).syncUninterruptibly();
     }
@@ -75,25 +75,25 @@
         return entries.values().stream().filter(entry -> !entry.state.equals("terminated")).toList();
     }
 
-    private void handle(String gateway, Http.Call call) {
+    private void handle(String gateway, HttpServer.Exchange call) {
         if (!call.path().equals("/v1/endpoints")) {
-            call.answer(404, "text/plain", "not known here\n");
-        } else if (!"1".equals(call.query("watch"))) {
-            call.json(200, list(gateway, rev, true, present()));
+            call.respond(404, "text/plain", "not known here\n");
+        } else if (!"1".equals(call.queryParameter("watch"))) {
+            call.respondJson(200, list(gateway, rev, true, present()));
         } else {
-            long from = call.number("from", 0);
-            Http.Lines lines = call.lines();
+            long from = call.queryLong("from", 0);
+            HttpServer.LineStream lines = call.startLineStream();
             boolean whole = from == 0 || from > rev;
-            lines.line(list(gateway, rev, whole, whole ? present()
+            lines.writeLine(list(gateway, rev, whole, whole ? present()
                     : entries.values().stream().filter(entry -> entry.rev > from).toList()));
             Watcher watcher = new Watcher(gateway, lines);
             watchers.add(watcher);
-            lines.whenEnded(() -> watchers.remove(watcher));
+            lines.onClose(() -> watchers.remove(watcher));
         }
     }
 
     private String list(String gateway, long at, boolean all, List<Entry> of) {
-        return Json.text(object(gateway, at, all, of));
+        return Json.encode(object(gateway, at, all, of));
     }
 
     private Map<String, Object> object(String gateway, long at, boolean all, List<Entry> of) {
@@ -121,6 +121,6 @@
 
     @Override
     public void close() {
-        servers.forEach(Http::close);
+        servers.forEach(HttpServer::close);
     }
 }
--- a/rig/src/main/java/mastdrift/rig/Play.java
+++ b/rig/src/main/java/mastdrift/rig/Play.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import mastdrift.common.Http;
+import mastdrift.common.HttpServer;
 import mastdrift.common.Json;
 import mastdrift.lab.Dice;
 import org.HdrHistogram.Histogram;
@@ -142,7 +142,7 @@
     private static Map<String, InetSocketAddress> gatewayAddresses(RigPlan plan, Stage stage) {
         Map<String, InetSocketAddress> gateways = new TreeMap<>();
         for (String name : Draw.matching(Stage.names(plan), "gateway-*")) {
-            gateways.put(name, Http.address(plan.load().direct() ? stage.own(name) : stage.reach(Stage.CLIENTS, name)));
+            gateways.put(name, HttpServer.parseAddress(plan.load().direct() ? stage.own(name) : stage.reach(Stage.CLIENTS, name)));
         }
         return gateways;
     }
@@ -223,7 +223,7 @@
         all.put("held", outcome.held());
         all.put("verdicts", outcome.verdicts().stream().map(Object::toString).toList());
         all.put("figures", outcome.figures());
-        return Json.text(all);
+        return Json.encode(all);
     }
 
     static void append(Path file, Outcome outcome) throws IOException {
--- a/rig/src/main/java/mastdrift/rig/Report.java
+++ b/rig/src/main/java/mastdrift/rig/Report.java
@@ -33,7 +33,7 @@
         }
         List<String> shown = new ArrayList<>();
         for (Path play : plays) {
-            shown.add(Json.text(summary(History.read(play))).replace("</", "<\\/"));
+            shown.add(Json.encode(summary(History.read(play))).replace("</", "<\\/"));
         }
         page("/rig.html", shown, page);
     }
--- a/rig/src/main/java/mastdrift/rig/Rig.java
+++ b/rig/src/main/java/mastdrift/rig/Rig.java
@@ -49,7 +49,7 @@
     static int run(String[] args, PrintWriter out, PrintWriter err) {
         return new CommandLine(new Rig()).setOut(out).setErr(err)
                 .setExecutionExceptionHandler((fault, command, parsed) -> {
-                    command.getErr().println(fault instanceof TomlFile.Faults || fault instanceof IOException
+                    command.getErr().println(fault instanceof TomlFile.ValidationException || fault instanceof IOException
                             || fault instanceof IllegalStateException ? fault.getMessage() : fault.toString());
                     return MISUSED;
                 }).execute(args);
@@ -81,7 +81,7 @@
         @Spec
         private CommandSpec spec;
 
-        RigPlan plan() throws TomlFile.Faults, IOException {
+        RigPlan plan() throws TomlFile.ValidationException, IOException {
             if (!variant.equals(Variants.NONE) && !Variants.ALL.contains(variant)) {
                 throw new CommandLine.ParameterException(spec.commandLine(), "--broken: expected one of "
                         + String.join(", ", Variants.ALL) + ", not " + variant);
@@ -275,7 +275,7 @@
                 for (int open : watches) {
                     try (Crowd crowd = new Crowd(size, open, replaced, replicas, Path.of("").toAbsolutePath(),
                             out.toAbsolutePath().resolve(size + "x" + open))) {
-                        lines.add(Json.text(crowd.play()));
+                        lines.add(Json.encode(crowd.play()));
                     }
                     spec.commandLine().getOut().println(lines.get(lines.size() - 1));
                 }
@@ -316,9 +316,9 @@
             PrintWriter print = spec.commandLine().getOut();
             try (Takeover takeover = new Takeover(3, term, Path.of("").toAbsolutePath(), out.toAbsolutePath())) {
                 takeover.start();
-                print.println(Json.text(takeover.end(kills, true)));
-                print.println(Json.text(takeover.end(stops, false)));
-                print.println(Json.text(takeover.leases(leases, 10_000, 30)));
+                print.println(Json.encode(takeover.end(kills, true)));
+                print.println(Json.encode(takeover.end(stops, false)));
+                print.println(Json.encode(takeover.leases(leases, 10_000, 30)));
             }
             return HELD;
         }
--- a/rig/src/main/java/mastdrift/rig/Stage.java
+++ b/rig/src/main/java/mastdrift/rig/Stage.java
@@ -265,7 +265,7 @@
             gateways.add(Map.of("name", name, "admin", own(adminOf(name)), "zone", "one"));
         }
         Map<String, Object> plan = Map.of("keep", 0.5, "settle", 0, "gateways", gateways);
-        String order = Json.text(Map.of("order", Map.of("id", "the-roll", "what", "start", "plan", plan)));
+        String order = Json.encode(Map.of("order", Map.of("id", "the-roll", "what", "start", "plan", plan)));
         await("the roll to be ordered", () -> replicas().stream().anyMatch(replica -> {
             try {
                 ask(replica, "POST", "/v1/duties/roll/order", order);
@@ -422,7 +422,7 @@
             call.getOutputStream().write(body.getBytes(StandardCharsets.UTF_8));
         }
         try (java.io.InputStream in = call.getInputStream()) {
-            return Json.object(in.readAllBytes());
+            return Json.parse(in.readAllBytes());
         }
     }
 
@@ -434,7 +434,7 @@
             for (String replica : replicas()) {
                 try {
                     ask(replica, gone ? "DELETE" : "PUT", "/v1/entries/" + host + (gone ? "?now=1" : ""),
-                            gone ? "" : Json.text(entry));
+                            gone ? "" : Json.encode(entry));
                     return true;
                 } catch (java.io.FileNotFoundException e) {
                     return gone;  // it is not there any more
@@ -476,7 +476,7 @@
         lists.serve(name, Addresses.socket(addresses.own(index(listsOf)), port(listsOf)));
         Path config = folder.resolve(name + ".json");
         String discovery = plan.gateways().agents() ? reach(name, name.replace("gateway", "agent")) : reach(name, listsOf);
-        Files.writeString(config, Json.text(config(name, discovery)), StandardCharsets.UTF_8);
+        Files.writeString(config, Json.encode(config(name, discovery)), StandardCharsets.UTF_8);
         Path temporary = folder.resolve(name).resolve("data");
         List<String> command = setting.deployed() ? List.of("/bin/sh", "-c", run())
                 : java("-Xmx64m", "mastdrift.net.Main");
@@ -624,7 +624,7 @@
                 for (int turn = 0; !Thread.currentThread().isInterrupted(); turn++) {
                     try {
                         if (programs.get(host).running()) {
-                            askAt(at.get(turn % at.size()), "POST", "/v1/renew", Json.text(Map.of("uids", List.of(host))));
+                            askAt(at.get(turn % at.size()), "POST", "/v1/renew", Json.encode(Map.of("uids", List.of(host))));
                         }
                         Thread.sleep(every);
                     } catch (IOException | IllegalArgumentException e) {
--- a/rig/src/main/java/mastdrift/rig/StandInHost.java
+++ b/rig/src/main/java/mastdrift/rig/StandInHost.java
@@ -20,7 +20,7 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import mastdrift.Balancer.Outcome;
-import mastdrift.common.Http;
+import mastdrift.common.HttpServer;
 import mastdrift.common.Json;
 import mastdrift.common.Range;
 import mastdrift.lab.Agenda;
@@ -74,7 +74,7 @@
                 new Range(Double.parseDouble(args[3]), Double.parseDouble(args[4])), Long.parseLong(args[5]),
                 Boolean.parseBoolean(args[6]), Path.of(args[7]));
         warm(loop, host, args[1].substring(0, args[1].lastIndexOf(':')));
-        Http.listen(loop, Http.address(args[1]), host::handle);
+        HttpServer.listen(loop, HttpServer.parseAddress(args[1]), host::handle);
         loop.scheduleWithFixedDelay(host::turn, TICK_MILLIS, TICK_MILLIS, TimeUnit.MILLISECONDS);
         System.out.println("listening on " + args[1]);
         BufferedReader in = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8));
@@ -89,7 +89,7 @@
     /** Answers itself for a while at another port: the figures are to be the gateways', not those of a virtual machine that has
         compiled nothing yet. What it wrote down meanwhile has ids that no client has. */
     private static void warm(EventLoop loop, StandInHost host, String address) throws IOException {
-        try (Http own = Http.listen(loop, new InetSocketAddress(address, 0), host::handle)) {
+        try (HttpServer own = HttpServer.listen(loop, new InetSocketAddress(address, 0), host::handle)) {
             for (int i = 0; i < WARM_CALLS; i++) {
                 HttpURLConnection call = (HttpURLConnection) URI.create("http://" + address + ":" + own.port() + "/api").toURL()
                         .openConnection();
@@ -113,11 +113,11 @@
         }
     }
 
-    private void handle(Http.Call call) {
+    private void handle(HttpServer.Exchange call) {
         turn();
         switch (call.path()) {
-            case "/health" -> call.answer(200, "text/plain", "well\n");
-            case "/status/load" -> call.answer(200, "text/plain", load());
+            case "/health" -> call.respond(200, "text/plain", "well\n");
+            case "/status/load" -> call.respond(200, "text/plain", load());
             default -> request(call);
         }
         turn();
@@ -128,10 +128,10 @@
                 machine.busy());
     }
 
-    private void request(Http.Call call) {
+    private void request(HttpServer.Exchange call) {
         String trace = call.header("X-Trace-Id");
         if (trace == null) {
-            call.answer(404, "text/plain", "no id\n");
+            call.respond(404, "text/plain", "no id\n");
             return;
         }
         long key = call.header("Idempotency-Key") == null ? trace.hashCode() : call.header("Idempotency-Key").hashCode();
@@ -140,8 +140,8 @@
         double work = trace.startsWith(WARMING) ? 1 : dice.in(workMs) * 1000 * dice.noise(1);
         Machine.Job job = new Machine.Job(key, work, outcome -> {
             switch (outcome) {
-                case DELIVERED -> call.answer(200, "text/plain", body(trace));
-                case SHED -> call.answer(503, "text/plain", "full\n", "X-Never-Ran", "1");
+                case DELIVERED -> call.respond(200, "text/plain", body(trace));
+                case SHED -> call.respond(503, "text/plain", "full\n", "X-Never-Ran", "1");
                 default -> call.channel().close();
             }
             if (outcome == Outcome.SHED) {
@@ -178,7 +178,7 @@
             }
         }
         try {
-            events.write(Json.text(all) + "\n");
+            events.write(Json.encode(all) + "\n");
             events.flush();
         } catch (IOException e) {
             throw new UncheckedIOException(e);
--- a/rig/src/main/java/mastdrift/rig/Takeover.java
+++ b/rig/src/main/java/mastdrift/rig/Takeover.java
@@ -39,7 +39,7 @@
                     plan.hosts(), plan.load(), plan.registry(), plan.work(), new RigPlan.Duties(candidates, termMillis,
                     Range.of(0)), plan.members(), plan.faults(), plan.check()), 1, new Stage.Setting(root, true, Variants.NONE), LANE, folder,
                     new History());
-        } catch (TomlFile.Faults e) {
+        } catch (TomlFile.ValidationException e) {
             throw new IllegalStateException(e);
         }
     }
@@ -120,7 +120,7 @@
             for (int j = 0; j < calls.size(); j++) {
                 HttpResponse<byte[]> answer = calls.get(j).join();
                 tokens[i + j] = answer.statusCode() == 200
-                        ? ((Number) Json.object(answer.body()).get("token")).longValue() : 0;
+                        ? ((Number) Json.parse(answer.body()).get("token")).longValue() : 0;
                 refused += tokens[i + j] == 0 ? 1 : 0;
             }
         }
@@ -165,7 +165,7 @@
     private static CompletableFuture<HttpResponse<byte[]>> call(HttpClient client, String at, int lease, String what,
             Map<String, Object> body) {
         return client.sendAsync(HttpRequest.newBuilder(URI.create("http://" + at + "/v1/duties/lease-" + lease + "/" + what))
-                .timeout(WITHIN).POST(HttpRequest.BodyPublishers.ofString(Json.text(body))).build(),
+                .timeout(WITHIN).POST(HttpRequest.BodyPublishers.ofString(Json.encode(body))).build(),
                 HttpResponse.BodyHandlers.ofByteArray());
     }
 
--- a/rig/src/main/java/mastdrift/rig/Work.java
+++ b/rig/src/main/java/mastdrift/rig/Work.java
@@ -16,8 +16,8 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 import mastdrift.common.Backoff;
-import mastdrift.common.Follow;
-import mastdrift.common.Http;
+import mastdrift.common.LineStreamClient;
+import mastdrift.common.HttpServer;
 import mastdrift.common.Json;
 import mastdrift.lab.Dice;
 
@@ -97,7 +97,7 @@
         if (compared != null) {
             facts.put("if_rev", compared);
         }
-        String body = Json.text(Map.of("endpoint", "127.0.0.1:1", "az", "z", "model", value, "lease_ms", plan.leaseMs()));
+        String body = Json.encode(Map.of("endpoint", "127.0.0.1:1", "az", "z", "model", value, "lease_ms", plan.leaseMs()));
         HttpRequest request = HttpRequest.newBuilder(URI.create("http://" + at + "/v1/entries/" + key
                 + (compared == null ? "" : "?if_rev=" + compared))).timeout(WITHIN)
                 .PUT(HttpRequest.BodyPublishers.ofString(body)).build();
@@ -110,7 +110,7 @@
             if (status == 200 || status == 409) {
                 end = History.now();
                 facts.put("ok", status == 200);
-                long rev = ((Number) Json.object(answer.body()).get("rev")).longValue();
+                long rev = ((Number) Json.parse(answer.body()).get("rev")).longValue();
                 seen.put(key, rev);
                 if (status == 200) {
                     facts.put("rev", rev);
@@ -138,7 +138,7 @@
             if (answer.statusCode() != 200 && answer.statusCode() != 404) {
                 return false;
             }
-            Map<String, Object> entry = answer.statusCode() == 404 ? Map.of() : Json.object(answer.body());
+            Map<String, Object> entry = answer.statusCode() == 404 ? Map.of() : Json.parse(answer.body());
             Map<String, Object> facts = new HashMap<>(Map.of("key", key, "at", at));
             facts.put("value", entry.get("model"));
             facts.put("rev", entry.getOrDefault("rev", 0L));
@@ -178,7 +178,7 @@
     }
 
     private void told(String by, String line) {
-        Map<String, Object> list = Json.object(line);
+        Map<String, Object> list = Json.parse(line);
         Map<String, Object> values = new HashMap<>();
         for (Object each : (List<?>) list.get("targets")) {
             Map<?, ?> target = (Map<?, ?>) each;
@@ -202,7 +202,7 @@
         private final String name;
         private final Dice dice;
         private final Backoff backoff;
-        private Follow follow;
+        private LineStreamClient follow;
         private long rev;
         private boolean stopped;
 
@@ -216,8 +216,8 @@
             if (stopped) {
                 return;
             }
-            InetSocketAddress at = Http.address(replicas.get(dice.below(replicas.size())));
-            follow = Follow.begin(loop, at, "/v1/endpoints?watch=1&from=" + rev,
+            InetSocketAddress at = HttpServer.parseAddress(replicas.get(dice.below(replicas.size())));
+            follow = LineStreamClient.open(loop, at, "/v1/endpoints?watch=1&from=" + rev,
                     Map.of("X-Least-Revision", Long.toString(rev)), 1000, SILENCE_MILLIS, this::take,
                     cause -> loop.schedule(this::follow, backoff.next(), TimeUnit.MILLISECONDS));
         }
@@ -226,14 +226,14 @@
             if (!line.isBlank()) {
                 backoff.reset();
                 told(name, line);
-                rev = ((Number) Json.object(line).get("rev")).longValue();
+                rev = ((Number) Json.parse(line).get("rev")).longValue();
             }
         }
 
         void stop() {
             stopped = true;
             if (follow != null) {
-                follow.stop();
+                follow.cancel();
             }
         }
     }
--- a/rig/src/test/java/mastdrift/rig/PlanTest.java
+++ b/rig/src/test/java/mastdrift/rig/PlanTest.java
@@ -55,7 +55,7 @@
 
     @Test
     void allThatIsWrongIsToldAtOnceWithItsLine() {
-        TomlFile.Faults faults = assertThrows(TomlFile.Faults.class, () -> PlanFile.parse("""
+        TomlFile.ValidationException faults = assertThrows(TomlFile.ValidationException.class, () -> PlanFile.parse("""
                 name = "odd"
                 relay = false
                 check = ["rules", "luck"]
--- a/rig/src/test/java/mastdrift/rig/SystemCallFaultsTest.java
+++ b/rig/src/test/java/mastdrift/rig/SystemCallFaultsTest.java
@@ -198,7 +198,7 @@
 
     @Test
     void anUnknownErrorIsNamedWithFileLineAndKey() {
-        TomlFile.Faults faults = assertThrows(TomlFile.Faults.class, () -> PlanFile.parse("""
+        TomlFile.ValidationException faults = assertThrows(TomlFile.ValidationException.class, () -> PlanFile.parse("""
                 [[fault]]
                 kind = "system_call"
                 process = "gateway-*"
@@ -207,7 +207,7 @@
                 """, "odd.toml"));
         assertTrue(faults.getMessage().contains("odd.toml:5: fault[0].error: expected one of ECONNABORTED"),
                 faults.getMessage());
-        faults = assertThrows(TomlFile.Faults.class, () -> PlanFile.parse("""
+        faults = assertThrows(TomlFile.ValidationException.class, () -> PlanFile.parse("""
                 [[fault]]
                 kind = "system_call"
                 process = "gateway-*"
--- a/src/main/java/mastdrift/State.java
+++ b/src/main/java/mastdrift/BalancerState.java
@@ -4,9 +4,9 @@
 import java.util.List;
 
 /** What one gateway's module remembers: plain data without a decision, all of which are in Balance.java. */
-final class State {
+final class BalancerState {
 
-    private State() { }
+    private BalancerState() { }
 
     /** Sums over servers alike in kind. */
     static final class Pool {
--- a/src/main/java/mastdrift/Balance.java
+++ b/src/main/java/mastdrift/HeadroomBalancer.java
@@ -10,17 +10,17 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.stream.Collectors;
-import mastdrift.State.Attempt;
-import mastdrift.State.Held;
-import mastdrift.State.Pool;
-import mastdrift.State.Server;
-import mastdrift.State.Session;
+import mastdrift.BalancerState.Attempt;
+import mastdrift.BalancerState.Held;
+import mastdrift.BalancerState.Pool;
+import mastdrift.BalancerState.Server;
+import mastdrift.BalancerState.Session;
 
 /**
  * Headroom split: every decision of one gateway. Its interface, types and units are in Balancer.java;
  * docs/design.md says what follows Bartolini et al. and where and when this departs from it.
  */
-public final class Balance implements Balancer {
+public final class HeadroomBalancer implements Balancer {
 
     // Spans in microseconds.
     private static final long REFRESH = 500_000;        // T_obs: troubles last seconds, so must the shares
@@ -162,33 +162,33 @@
         random = new SplittableRandom(given.seed());
         usual = new double[given.classes().size()];
         for (RequestClass type : given.classes()) {
-            usual[classes.size()] = type.aim() / 4.0;
+            usual[classes.size()] = type.latencyTarget() / 4.0;
             classes.put(type.name(), classes.size());
-            mostWorth = Math.max(mostWorth, type.worth());
-            tightestAim = Math.min(tightestAim, type.aim());
+            mostWorth = Math.max(mostWorth, type.value());
+            tightestAim = Math.min(tightestAim, type.latencyTarget());
         }
         for (Tenant tenant : given.tenants()) {
-            tenants.put(tenant.name(), new Share(tenant.quotaPerSecond() / given.site().gateways(), now));
+            tenants.put(tenant.name(), new Share(tenant.quotaPerSecond() / given.topology().gatewayCount(), now));
         }
         refreshedAt = now;
-        actions.timer(now + 1 + random.nextLong(REFRESH), TIMER);
-        weighted = given.weights() == Weights.NOMINAL || given.weights() == Weights.ROUGH;
-        loadsListed = given.weights() == Weights.LIVE;
-        if (given.registryOnRequest()) {
-            askAt = now + random.nextLong(given.rules().mustAskIn() / 4 + 1);
+        actions.scheduleTimer(now + 1 + random.nextLong(REFRESH), TIMER);
+        weighted = given.weightMode() == WeightMode.NOMINAL || given.weightMode() == WeightMode.ROUGH;
+        loadsListed = given.weightMode() == WeightMode.LIVE;
+        if (given.listOnRequest()) {
+            askAt = now + random.nextLong(given.guarantees().listRequestDeadline() / 4 + 1);
         }
     }
 
     private static void check(Settings given) {
         require(given.classes().size(), "classes");
         for (RequestClass type : given.classes()) {
-            require(type.aim(), type.name() + " aim");
+            require(type.latencyTarget(), type.name() + " aim");
             require(type.deadline(), type.name() + " deadline");
         }
-        require(given.site().gateways(), "gateways");
+        require(given.topology().gatewayCount(), "gateways");
         require(given.limits().maxAttempts(), "max attempts");
-        require(given.rules().coldFrom(), "cold from");
-        require(given.rules().fallMultiple(), "fall multiple");
+        require(given.guarantees().coldCapacityFraction(), "cold from");
+        require(given.guarantees().overloadMultiple(), "fall multiple");
     }
 
     private static void require(double value, String name) {
@@ -198,7 +198,7 @@
     }
 
     @Override
-    public void request(long now, Request request) {
+    public void requestReceived(long now, Request request) {
         Integer cls = classes.get(request.className());
         if (cls == null || held.containsKey(request.id())) {
             throw new IllegalArgumentException("unknown class or repeated id: " + request);
@@ -230,7 +230,7 @@
     }
 
     @Override
-    public void streaming(long now, long id, int attempt) {
+    public void streamingStarted(long now, long id, int attempt) {
         Held req = held.get(id);
         if (req == null || attempt < 0 || attempt >= req.attempts.size() || !req.attempts.get(attempt).out) {
             return;
@@ -244,7 +244,7 @@
     }
 
     @Override
-    public void resolved(long now, long id, int number, String address, Outcome outcome, long elapsed,
+    public void attemptEnded(long now, long id, int number, String address, Outcome outcome, long elapsed,
             boolean over, LoadReport report) {
         Held req = held.get(id);
         learnReport(now, servers.get(address), report);
@@ -277,28 +277,28 @@
     }
 
     @Override
-    public void departed(long now, long id) {
+    public void clientLeft(long now, long id) {
         if (held.containsKey(id)) {
             end(held.get(id));
         }
     }
 
     @Override
-    public void timer(long now, String handle) {
+    public void timerFired(long now, String handle) {
         if (handle.equals(TIMER)) {
-            actions.timer(now + REFRESH, TIMER);  // first: a fault in what follows must not end the refreshes
+            actions.scheduleTimer(now + REFRESH, TIMER);  // first: a fault in what follows must not end the refreshes
             refresh(now);
             probeSome();
         }
         if (now >= askAt) {
             askAt = Long.MAX_VALUE;
             askedAt = now;
-            actions.watch(true);
+            actions.watchHostList(true);
         }
     }
 
     @Override
-    public int excluded(long now) {
+    public int excludedHostCount(long now) {
         return (int) servers.values().stream().filter(server -> target(now, server) == 0).count();
     }
 
@@ -373,13 +373,13 @@
     }
 
     private static void learnReport(long now, Server server, LoadReport report) {
-        if (server != null && !Double.isNaN(report.cpu()) && server.coldSince == 0) {
+        if (server != null && !Double.isNaN(report.cpuUtilization()) && server.coldSince == 0) {
             Pool kind = server.kind;
             kind.heard = true;
-            kind.cpu += (kind.reports++ == 0 ? 1 : USUAL_CPU) * (report.cpu() - kind.cpu);
+            kind.cpu += (kind.reports++ == 0 ? 1 : USUAL_CPU) * (report.cpuUtilization() - kind.cpu);
         }
-        if (server != null && !Double.isNaN(report.waiting())) {
-            server.queue = report.waiting();
+        if (server != null && !Double.isNaN(report.queuedRequests())) {
+            server.queue = report.queuedRequests();
             server.queueAt = now;
         }
     }
@@ -397,15 +397,15 @@
                 server.idle = 1;
             } else if (listed) {
                 double part = server.idle * (idle ? IDLE_MORE : BUSY_LESS);
-                server.idle = Math.max(1, Math.min(settings.rules().fallMultiple(), part));
+                server.idle = Math.max(1, Math.min(settings.guarantees().overloadMultiple(), part));
             }
         }
         double mean = servers.values().stream()
-                .filter(s -> s.host.health() == Health.UP && s.host.weight() > 0)
+                .filter(s -> s.host.state() == HostState.IN_SERVICE && s.host.weight() > 0)
                 .mapToDouble(s -> s.kind.weightMost / s.host.weight()).average().orElse(1);
         unhindered = Arrays.stream(usual).average().orElse(0) / mean;
         zoneLoads = !told ? Map.of() : servers.values().stream()
-                .filter(s -> s.host.health() == Health.UP && !s.down && s.host.weight() > 0)
+                .filter(s -> s.host.state() == HostState.IN_SERVICE && !s.down && s.host.weight() > 0)
                 .collect(Collectors.groupingBy(s -> s.host.zone(),
                         Collectors.averagingDouble(s -> s.kind.weightMost / s.host.weight() - 1)));
     }
@@ -479,7 +479,7 @@
             }
             server.kind.latency += server.ownCount * server.ownP95;
             server.kind.samples += server.ownCount;
-            if (server.coldSince == 0 && server.host.health() == Health.UP) {
+            if (server.coldSince == 0 && server.host.state() == HostState.IN_SERVICE) {
                 server.kind.warm++;
                 server.kind.delivered += server.delivered;
             }
@@ -487,7 +487,7 @@
         }
         for (Pool kind : kinds.values()) {
             double rate = kind.warm == 0 ? 0 : kind.delivered / kind.warm / span;
-            double weight = rate > kind.rate ? EWMA : REFRESH / (double) settings.rules().warmWithin();
+            double weight = rate > kind.rate ? EWMA : REFRESH / (double) settings.guarantees().warmUpTime();
             kind.rate += kind.warm == 0 ? 0 : weight * (rate - kind.rate);
         }
         learnLoads(now, false);
@@ -498,7 +498,7 @@
         sizeKinds();
         servers.values().forEach(this::estimate);
         setThreshold();
-        double rise = Math.max(RISE, REFRESH / (double) settings.rules().warmWithin());
+        double rise = Math.max(RISE, REFRESH / (double) settings.guarantees().warmUpTime());
         double fade = Math.min(1, HISTORY * servers.size() / Math.max(1, recentSum));
         recentSum = 0;
         shareSum = 0;
@@ -526,7 +526,7 @@
         if (++refreshes % LOG_EVERY != 0 || pressed + homeless + givenUp == 0) {
             return;
         }
-        long up = servers.values().stream().filter(s -> s.host.health() == Health.UP).count();
+        long up = servers.values().stream().filter(s -> s.host.state() == HostState.IN_SERVICE).count();
         long in = servers.values().stream().filter(s -> s.inSet).count();
         long down = servers.values().stream().filter(s -> s.down).count();
         long cold = servers.values().stream().filter(s -> s.coldSince > 0).count();
@@ -566,7 +566,7 @@
         design allows: S* holds every server that still answers in time, and shares of sound ones don't follow
         the noise of a 95th percentile, which would move keys away from the servers that have them warm. */
     private void setThreshold() {
-        double[] times = servers.values().stream().filter(s -> !s.down && s.host.health() == Health.UP)
+        double[] times = servers.values().stream().filter(s -> !s.down && s.host.state() == HostState.IN_SERVICE)
                 .mapToDouble(s -> s.respTime).sorted().toArray();
         if (times.length == 0) {
             return;
@@ -575,7 +575,7 @@
         aimUsual = UNBOUNDED;
         for (int i = 0; i < usual.length; i++) {
             tss = Math.min(tss, settings.classes().get(i).deadline() / usual[i]);
-            aimUsual = Math.min(aimUsual, settings.classes().get(i).aim() / usual[i]);
+            aimUsual = Math.min(aimUsual, settings.classes().get(i).latencyTarget() / usual[i]);
         }
         theta = tss * Math.ceil(times[(int) (LOWEST * times.length)] * 1.01 / tss);
     }
@@ -583,7 +583,7 @@
     /** (theta - resp_time(s)) / theta, no more than the capacity there is while cold, in the part in which it
         serves (failures leave no latencies), and less in another zone: crossing costs time and points. */
     private double target(long now, Server server) {
-        if (server.down || server.host.health() != Health.UP || server.respTime > theta) {
+        if (server.down || server.host.state() != HostState.IN_SERVICE || server.respTime > theta) {
             return 0;
         }
         double near = near(server.host.zone());
@@ -594,7 +594,7 @@
     /** Crossing costs time and points, so home goes first; the less so the more it holds than the other zone.
         All gateways of a zone hold on to it together, and would choke its hosts while others idle. */
     private double near(String zone) {
-        String home = settings.site().zone();
+        String home = settings.topology().zone();
         double crowd = (1 + zoneLoads.getOrDefault(home, 0.0)) / (1 + zoneLoads.getOrDefault(zone, 0.0));
         return zone.equals(home) ? 1 : AWAY * crowd;
     }
@@ -709,7 +709,7 @@
         }
         for (Held req : held.values()) {
             Attempt attempt = req.attempts.get(req.attempts.size() - 1);
-            if (now - req.since > req.type.aim() && !attempt.streaming && counts(now, attempt.server)) {
+            if (now - req.since > req.type.latencyTarget() && !attempt.streaming && counts(now, attempt.server)) {
                 all[total++] = lateness(now, req);
                 if (attempt.sentAt > attempt.server.overtook) {
                     values[count++] = lateness(now, req);
@@ -728,7 +728,7 @@
     /** Up to the aim its part of that, then 1 plus the part of the way on to the deadline. */
     private static double lateness(long now, Held req) {
         double waited = now - req.since;
-        long aim = req.type.aim();
+        long aim = req.type.latencyTarget();
         return waited <= aim ? waited / aim : 1 + (waited - aim) / Math.max(1, req.type.deadline() - aim);
     }
 
@@ -784,7 +784,7 @@
         double own = share == null ? pressure : Math.max(0, (pressure - FIRST) / (1 - FIRST));
         double chance = over ? OVER * pressure
                 : remembered ? (own - newPart) / Math.max(1e-9, 1 - newPart) : own / Math.max(1e-9, newPart);
-        if (chance > 0 && random.nextDouble() < chance * (1.2 - 0.4 * req.type.worth() / mostWorth)) {
+        if (chance > 0 && random.nextDouble() < chance * (1.2 - 0.4 * req.type.value() / mostWorth)) {
             return true;
         }
         if (share != null && !over) {
@@ -824,8 +824,8 @@
     private void freshen(long now, Server server, Attempt attempt) {
         long idle = server.out.size() > 1 || server.usedAt == 0 ? 0 : now - server.usedAt;
         if (idle >= idleLimit) {
-            actions.closeIdle(server.host.address());
-        } else if (idle < settings.links().idle()) {
+            actions.closeIdleConnections(server.host.address());
+        } else if (idle < settings.connections().idleTimeout()) {
             attempt.idle = idle;
         }
     }
@@ -854,7 +854,7 @@
     }
 
     private boolean listed(Server server) {
-        return server.host.health() == Health.UP && servers.get(server.host.address()) == server;
+        return server.host.state() == HostState.IN_SERVICE && servers.get(server.host.address()) == server;
     }
 
     /** An attempt that may have run binds what follows: never, or to its group within the window. That is
@@ -864,21 +864,21 @@
             if (attempt == waiting) {
                 continue;
             }
-            if (attempt.out && !settings.limits().parallelTries() || attempt.server == server) {
+            if (attempt.out && !settings.limits().mayHedge() || attempt.server == server) {
                 return false;
             }
-            if (attempt.neverRan || req.type.repeat() == Repeat.SAFE) {
+            if (attempt.neverRan || req.type.idempotency() == Idempotency.SAFE) {
                 continue;
             }
-            if (req.type.repeat() == Repeat.UNSAFE || now - attempt.sentAt >= req.type.dedupWindow()
-                    || !sameGroup(req.type.group(), attempt.server.host, server.host)) {
+            if (req.type.idempotency() == Idempotency.UNSAFE || now - attempt.sentAt >= req.type.dedupWindow()
+                    || !sameGroup(req.type.dedupScope(), attempt.server.host, server.host)) {
                 return false;
             }
         }
         return true;
     }
 
-    private static boolean sameGroup(Group group, Host one, Host other) {
+    private static boolean sameGroup(DedupScope group, Host one, Host other) {
         return switch (group) {
             case ALL -> true;
             case ZONE -> one.zone().equals(other.zone());
@@ -888,11 +888,11 @@
 
     /** The one gate of every refusal and failure: a refusal only where a new try is proved harmless. */
     private void answer(Held req) {
-        boolean harmless = req.type.repeat() == Repeat.SAFE
-                || req.type.repeat() == Repeat.KEYED && req.type.group() == Group.ALL
+        boolean harmless = req.type.idempotency() == Idempotency.SAFE
+                || req.type.idempotency() == Idempotency.KEYED && req.type.dedupScope() == DedupScope.ALL
                 || req.attempts.stream().allMatch(a -> a.neverRan);
         if (harmless) {
-            actions.refuse(req.id, settings.limits().retryAfter() ? settings.limits().maxRetryAfter() : 0);
+            actions.refuse(req.id, settings.limits().sendsRetryAfter() ? settings.limits().maxRetryAfter() : 0);
         } else {
             actions.fail(req.id);
         }
@@ -907,7 +907,7 @@
                 attempt.out = false;
                 attempt.server.out.remove(attempt);
                 outSum--;
-                if (settings.limits().cancel()) {
+                if (settings.limits().mayCancel()) {
                     actions.cancel(req.id, i);
                 }
             }
@@ -922,12 +922,12 @@
             return true;
         }
         double rate = CREDIT * server.idle * warmth(now, server) * likeRate(server);
-        double most = Math.max(1, rate * settings.rules().fallSpan() / 2e6);
+        double most = Math.max(1, rate * settings.guarantees().overloadWindow() / 2e6);
         server.coldCredit = Math.min(most, server.coldCredit + rate * (now - server.creditAt) / 1e6);
         server.creditAt = now;
         double answering = 2 * rate * usual[req.cls] / 1e6;
         return server.coldCredit >= 1 && (server.unanswered == 0 || server.unanswered < answering
-                || now - server.sentAt >= settings.rules().fallSpan());
+                || now - server.sentAt >= settings.guarantees().overloadWindow());
     }
 
     /** What warm hosts of the kind last served a second. Not what they were sent: in an overload that is many
@@ -938,7 +938,7 @@
         double known = server.kind.rate > 0 ? server.kind.rate
                 : kinds.values().stream().filter(k -> k.rate > 0).mapToDouble(k -> k.rate).min().orElse(0);
         double oneCore = 1e6 / Arrays.stream(usual).max().orElse(1e6);
-        return Math.max(known, oneCore / settings.site().gateways());
+        return Math.max(known, oneCore / settings.topology().gatewayCount());
     }
 
     /** The least part of its capacity that a host can have by now. */
@@ -950,8 +950,8 @@
             server.coldSince = 0;
             return 1;
         }
-        double from = settings.rules().coldFrom();
-        return from + (1 - from) * (now - server.coldSince) / settings.rules().warmWithin();
+        double from = settings.guarantees().coldCapacityFraction();
+        return from + (1 - from) * (now - server.coldSince) / settings.guarantees().warmUpTime();
     }
 
     private void chill(long now, Server server, long since, long span) {
@@ -983,7 +983,7 @@
     /** Servers that are down, then servers short of samples, within the budget; from a random place, so that
         late entries of a long list don't starve, and one probe at a time. */
     private void probeSome() {
-        if (!settings.limits().probes()) {
+        if (!settings.limits().mayProbe()) {
             return;
         }
         Server[] all = servers.values().toArray(new Server[0]);
@@ -991,7 +991,7 @@
         for (int i = 0; i < 2 * all.length && probeBudget >= 1; i++) {
             Server server = all[(from + i) % all.length];
             boolean wanted = i < all.length ? server.down : server.ownCount == 0;
-            if (wanted && !server.probing && server.host.health() == Health.UP) {
+            if (wanted && !server.probing && server.host.state() == HostState.IN_SERVICE) {
                 probeBudget--;
                 server.probing = true;
                 actions.probe(server.host.address());
@@ -1000,7 +1000,7 @@
     }
 
     @Override
-    public void probed(long now, String address, Outcome outcome, long elapsed, LoadReport report) {
+    public void probeEnded(long now, String address, Outcome outcome, long elapsed, LoadReport report) {
         Server server = servers.get(address);
         if (server == null) {
             return;
@@ -1016,22 +1016,22 @@
     }
 
     @Override
-    public void hosts(long now, ListForm form, List<Host> hosts) {
-        if (form == ListForm.FAILED) {
+    public void hostListReceived(long now, ListUpdateType form, List<Host> hosts) {
+        if (form == ListUpdateType.FAILED) {
             askFailures++;
             long backoff = backoff(now);
             askAt = now + backoff / 2 + random.nextLong(backoff / 2 + 1);
-            actions.timer(askAt, ASK);
+            actions.scheduleTimer(askAt, ASK);
             return;
         }
         askFailures = 0;
         Map<String, Server> before = new LinkedHashMap<>(servers);
-        if (form != ListForm.DELTA) {
+        if (form != ListUpdateType.DELTA) {
             servers.clear();
         }
         hosts.forEach(host -> admit(now, host, before.get(host.address())));
-        listedAt = form == ListForm.CACHED ? listedAt : now;
-        learnLoads(now, loadsListed && form != ListForm.CACHED);
+        listedAt = form == ListUpdateType.CACHED ? listedAt : now;
+        learnLoads(now, loadsListed && form != ListUpdateType.CACHED);
         seat();
     }
 
@@ -1039,10 +1039,10 @@
         broke, has taken its time already. What a registry that pushes has counts as told as soon as it can be
         reached: there the pause leaves half of the time in which sends to a draining host must end. */
     private long backoff(long now) {
-        Rules rules = settings.rules();
-        boolean pushed = !settings.registryOnRequest();
+        Guarantees rules = settings.guarantees();
+        boolean pushed = !settings.listOnRequest();
         long most = pushed ? Math.min(BACKOFF_MOST, rules.drainGrace() / 2) : BACKOFF_MOST;
-        long least = Math.min(most / 2, pushed ? REFRESH / 2 : rules.mustAskIn() / 8);
+        long least = Math.min(most / 2, pushed ? REFRESH / 2 : rules.listRequestDeadline() / 8);
         boolean atOnce = now - askedAt < BACKOFF_MOST;
         // Bounded before it is shifted: after 63 failures the span would be negative and the asking end.
         long backoff = atOnce ? Math.min(most, least << Math.min(3, askFailures - 1)) : least;
@@ -1050,22 +1050,22 @@
     }
 
     private void admit(long now, Host host, Server known) {
-        if (host.health() == Health.GONE) {
+        if (host.state() == HostState.TERMINATED) {
             servers.remove(host.address());
             return;
         }
         Server server = known;
-        if (server == null || host.born() > server.host.born()) {
+        if (server == null || host.startedAt() > server.host.startedAt()) {
             server = new Server(SAMPLES);
             server.answeredAt = now;
             server.share = 0.5;
         }
         boolean fresh = server != known;
         server.host = host;
-        server.kind = kinds.computeIfAbsent(host.kind(), k -> new Pool());
+        server.kind = kinds.computeIfAbsent(host.model(), k -> new Pool());
         servers.put(host.address(), server);
-        if (fresh && host.born() > 0) {
-            chill(now, server, host.born(), settings.rules().warmWithin());
+        if (fresh && host.startedAt() > 0) {
+            chill(now, server, host.startedAt(), settings.guarantees().warmUpTime());
             server.share *= warmth(now, server);
         }
     }
--- a/src/main/java/mastdrift/net/ClientSide.java
+++ b/src/main/java/mastdrift/net/ClientSide.java
@@ -45,7 +45,7 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import mastdrift.Balancer.Repeat;
+import mastdrift.Balancer.Idempotency;
 import mastdrift.Balancer.RequestClass;
 import mastdrift.Balancer.Settings;
 import mastdrift.Balancer.Tenant;
@@ -559,14 +559,14 @@
             String tenant = headers.get("X-Customer");
             long expires = number(headers.get(EXPIRES));
             String trace = headers.get(TRACE, "");
-            boolean keyed = type != null && type.repeat() == Repeat.KEYED;
+            boolean keyed = type != null && type.idempotency() == Idempotency.KEYED;
             boolean bad = type == null || expires <= 0 || !tenants.isEmpty() && !tenants.contains(tenant)
                     || !passable(trace) || !passable(message.uri()) || !passable(headers.get(REPEAT_KEY, keyed ? "" : "-"))
                     || ONCE.stream().anyMatch(name -> headers.getAll(name).size() > 1);
             if (message.method().equals(HttpMethod.GET) && (message.content().isReadable() || currentRest != null)) {
                 plain(HttpResponseStatus.BAD_REQUEST, true);  // hosts that pass a body over would read it as a request
             } else if (!message.method().equals(HttpMethod.GET) && !message.method().equals(HttpMethod.POST)
-                    || !bad && message.method().equals(HttpMethod.GET) != (type.repeat() == Repeat.SAFE)) {
+                    || !bad && message.method().equals(HttpMethod.GET) != (type.idempotency() == Idempotency.SAFE)) {
                 plain(HttpResponseStatus.METHOD_NOT_ALLOWED, false);
             } else if (bad) {
                 plain(HttpResponseStatus.BAD_REQUEST, false);
--- a/src/main/java/mastdrift/net/Gateway.java
+++ b/src/main/java/mastdrift/net/Gateway.java
@@ -27,10 +27,10 @@
 import java.util.function.LongConsumer;
 import java.util.function.LongSupplier;
 import mastdrift.Balancer;
-import mastdrift.Balancer.ListForm;
+import mastdrift.Balancer.ListUpdateType;
 import mastdrift.Balancer.LoadReport;
 import mastdrift.Balancer.Outcome;
-import mastdrift.Balancer.Reports;
+import mastdrift.Balancer.LoadReportMode;
 import mastdrift.Balancer.Settings;
 
 /** Drives the module: its clock, its timers, the ledger of requests and attempts, and one final answer a request.
@@ -139,7 +139,7 @@
                 if (rest != null || begun) {  // what comes or goes in pieces has lost its other end
                     attempts.forEach(HostPool.Attempt::cancel);
                 }
-                event(null, now -> module.departed(now, id));
+                event(null, now -> module.clientLeft(now, id));
             }
         }
     }
@@ -183,15 +183,15 @@
         starts = new HostStarts(this::now, () -> System.currentTimeMillis() * 1000,
                 () -> log.add(EventLog.Event.CLOCK_STEPPED, "unix_ms", System.currentTimeMillis(), "steady_ms", now() / 1000));
         settings = config.settings();
-        this.openMost = Math.min(openMost, settings.limits().maxOpen());
-        hosts = new HostPool(loop, this::now, monitor, settings.links().dialTimeout(), settings.links().idle(),
-                settings.rules().drainGrace(), hostConnections, tally, log);
+        this.openMost = Math.min(openMost, settings.limits().maxOpenRequests());
+        hosts = new HostPool(loop, this::now, monitor, settings.connections().dialTimeout(), settings.connections().idleTimeout(),
+                settings.guarantees().drainGrace(), hostConnections, tally, log);
         discovery = new Discovery(loop, config.discovery(), config.known().rev(),
-                list -> learn(list, list.all() ? ListForm.FULL : ListForm.DELTA), this::listFailed);
+                list -> learn(list, list.all() ? ListUpdateType.FULL : ListUpdateType.DELTA), this::listFailed);
         Periodic.every(loop, TALLY_SPAN_MICROS, this::logTally, this::log);
         module.start(now(), settings, this);
-        learn(config.known(), ListForm.CACHED);
-        if (settings.registryOnRequest()) {
+        learn(config.known(), ListUpdateType.CACHED);
+        if (settings.listOnRequest()) {
             heard.complete(null);
         } else {
             discovery.watch(true);
@@ -226,7 +226,7 @@
 
     /** Keeps the figures fresh that are not counted but looked at. */
     void keepFigures() {
-        Periodic.every(loop, FIGURES_SPAN_MICROS, () -> tally.set(Tally.Gauge.HOSTS_EXCLUDED, module.excluded(now())), this::log);
+        Periodic.every(loop, FIGURES_SPAN_MICROS, () -> tally.set(Tally.Gauge.HOSTS_EXCLUDED, module.excludedHostCount(now())), this::log);
     }
 
     /** Whether all that was taken, and every attempt at it, has ended and nothing is held for it any more. */
@@ -275,7 +275,7 @@
                     finish(exchange);
                     tally.add(exchange.className, Tally.Ended.FAILED);
                     exchange.client.failed(false);
-                    event(null, now -> module.departed(now, exchange.id));
+                    event(null, now -> module.clientLeft(now, exchange.id));
                 }
             }
         });
@@ -292,25 +292,25 @@
         }
     }
 
-    private void learn(HostList told, ListForm form) {
+    private void learn(HostList told, ListUpdateType form) {
         long begunAt = monitor.begin();
         HostList list = told.withStarts(starts::place);
-        if (form != ListForm.CACHED) {
+        if (form != ListUpdateType.CACHED) {
             starts.heard();
         }
         hosts.update(list);
         tally.set(Tally.Gauge.HOSTS_KNOWN, hosts.known());
         log("list " + list.rev() + ": " + list.entries().size() + (list.all() ? " hosts" : " changes"));
-        event(null, now -> module.hosts(now, form, list.entries().stream().map(HostList.Entry::host).toList()));
+        event(null, now -> module.hostListReceived(now, form, list.entries().stream().map(HostList.Entry::host).toList()));
         monitor.ended(LoopMonitor.Task.HOST_LIST, begunAt);
-        if (form != ListForm.CACHED) {
+        if (form != ListUpdateType.CACHED) {
             heard.complete(null);
         }
     }
 
     private void listFailed(String cause) {
         log("discovery failed: " + cause);
-        event(null, now -> module.hosts(now, ListForm.FAILED, List.of()));
+        event(null, now -> module.hostListReceived(now, ListUpdateType.FAILED, List.of()));
         heard.complete(null);
     }
 
@@ -344,7 +344,7 @@
         ledger.put(exchange.id, exchange);
         exchange.startBackstop();
         boolean write = message.method().equals(HttpMethod.POST);
-        event(exchange, now -> module.request(now,
+        event(exchange, now -> module.requestReceived(now,
                 new Balancer.Request(exchange.id, className, tenant, key, kept, work, repeated, write)));
         return exchange.ended ? null : exchange;
     }
@@ -356,7 +356,7 @@
             finish(exchange);
             failed(exchange, "overdue");
             exchange.client.failed(true);
-            event(null, now -> module.departed(now, exchange.id));
+            event(null, now -> module.clientLeft(now, exchange.id));
         }
     }
 
@@ -404,7 +404,7 @@
         event(exchange, now -> {
             exchange.out--;
             forget(exchange);
-            module.resolved(now, exchange.id, number, uid, outcome, elapsed, exchange.ended || exchange.begun, report);
+            module.attemptEnded(now, exchange.id, number, uid, outcome, elapsed, exchange.ended || exchange.begun, report);
         });
     }
 
@@ -417,7 +417,7 @@
         }
         exchange.begun = true;
         exchange.backstop.cancel(false);
-        event(exchange, now -> module.streaming(now, exchange.id, number));
+        event(exchange, now -> module.streamingStarted(now, exchange.id, number));
         exchange.client.begun(answer, rest, whole -> {
             if (!exchange.ended) {
                 finish(exchange);
@@ -427,7 +427,7 @@
     }
 
     private LoadReport report(FullHttpResponse answer) {
-        boolean given = answer != null && settings.habits().reports() == Reports.INLINE;
+        boolean given = answer != null && settings.capabilities().loadReportMode() == LoadReportMode.INLINE;
         return LoadReports.parse(given ? answer.headers().get("Endpoint-Load-Metrics") : null);
     }
 
@@ -486,7 +486,7 @@
                 exchange.relaying = true;
                 exchange.message.release();
                 exchange.backstop.cancel(false);
-                event(exchange, now -> module.streaming(now, exchange.id, number));
+                event(exchange, now -> module.streamingStarted(now, exchange.id, number));
             }
         }
 
@@ -568,17 +568,17 @@
     }
 
     @Override
-    public void timer(long at, String handle) {
+    public void scheduleTimer(long at, String handle) {
         loop.schedule(() -> {
             long begunAt = monitor.begin();
-            event(null, now -> module.timer(now, handle));
+            event(null, now -> module.timerFired(now, handle));
             monitor.ended(LoopMonitor.Task.TIMER, begunAt);
         }, Math.max(1, at - now()), TimeUnit.MICROSECONDS);
     }
 
     @Override
     public void probe(String uid) {
-        boolean reports = settings.habits().reports() != Reports.OFF;
+        boolean reports = settings.capabilities().loadReportMode() != LoadReportMode.OFF;
         FullHttpRequest message = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET,
                 reports ? "/status/load" : "/health");
         long sentAt = now();
@@ -586,28 +586,28 @@
             long elapsed = now() - sentAt;
             LoadReport report = LoadReports.parse(answer == null || !reports ? null
                     : answer.content().toString(StandardCharsets.UTF_8));
-            event(null, now -> module.probed(now, uid, outcome, elapsed, report));
+            event(null, now -> module.probeEnded(now, uid, outcome, elapsed, report));
         });
     }
 
     @Override
-    public void watch(boolean active) {
+    public void watchHostList(boolean active) {
         discovery.watch(active);
     }
 
     @Override
-    public void fetch() {
+    public void fetchHostList() {
         discovery.fetch();
     }
 
     @Override
-    public void closeIdle(String uid) {
+    public void closeIdleConnections(String uid) {
         hosts.closeIdle(uid);
     }
 
     /** The settings allow no messages between gateways; the module sends none. */
     @Override
-    public void tell(int peer, byte[] message) {
+    public void sendToPeer(int peer, byte[] message) {
         throw new UnsupportedOperationException("gateways share nothing");
     }
 
--- a/src/main/java/mastdrift/net/HostList.java
+++ b/src/main/java/mastdrift/net/HostList.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.ToLongBiFunction;
-import mastdrift.Balancer.Health;
+import mastdrift.Balancer.HostState;
 import mastdrift.Balancer.Host;
 
 /** A list of hosts, or the entries of it that changed, in discovery's form. */
@@ -30,10 +30,10 @@
     private static Entry entry(Map<?, ?> target) {
         String uid = Config.text(target, "uid");
         String state = Config.text(target, "state");
-        Health health = switch (state) {
-            case "in_service" -> Health.UP;
-            case "terminating" -> Health.LEAVING;
-            case "terminated" -> Health.GONE;
+        HostState health = switch (state) {
+            case "in_service" -> HostState.IN_SERVICE;
+            case "terminating" -> HostState.TERMINATING;
+            case "terminated" -> HostState.TERMINATED;
             default -> throw new IllegalArgumentException("expected a known state of " + uid + ", not " + state);
         };
         if (uid.isEmpty()) {
@@ -50,8 +50,8 @@
     HostList withStarts(ToLongBiFunction<String, Long> place) {
         return new HostList(rev, all, entries.stream().map(entry -> {
             Host host = entry.host;
-            return new Entry(new Host(host.address(), host.zone(), host.cell(), host.kind(), host.weight(), host.health(),
-                    place.applyAsLong(host.address(), host.born())), entry.at);
+            return new Entry(new Host(host.address(), host.zone(), host.cell(), host.model(), host.weight(), host.state(),
+                    place.applyAsLong(host.address(), host.startedAt())), entry.at);
         }).toList());
     }
 
--- a/src/main/java/mastdrift/net/HostPool.java
+++ b/src/main/java/mastdrift/net/HostPool.java
@@ -38,7 +38,7 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongSupplier;
-import mastdrift.Balancer.Health;
+import mastdrift.Balancer.HostState;
 import mastdrift.Balancer.Host;
 import mastdrift.Balancer.Outcome;
 
@@ -147,17 +147,17 @@
             Host host = entry.host();
             named.add(host.address());
             Peer peer = peers.computeIfAbsent(host.address(), uid -> new Peer());
-            if (host.health() != Health.UP) {
+            if (host.state() != HostState.IN_SERVICE) {
                 leave(peer);
             } else {
-                if (!entry.at().equals(peer.at) || host.born() != peer.born) {
+                if (!entry.at().equals(peer.at) || host.startedAt() != peer.born) {
                     closeIdle(peer);
                 }
                 peer.sendUntil = Long.MAX_VALUE;
             }
             peer.at = entry.at();
-            peer.born = host.born();
-            if (host.health() == Health.GONE) {
+            peer.born = host.startedAt();
+            if (host.state() == HostState.TERMINATED) {
                 peers.remove(host.address());
             }
         }
--- a/src/main/java/mastdrift/net/Main.java
+++ b/src/main/java/mastdrift/net/Main.java
@@ -19,7 +19,7 @@
 import java.util.function.LongSupplier;
 import java.util.logging.Level;
 import java.util.logging.Logger;
-import mastdrift.Balance;
+import mastdrift.HeadroomBalancer;
 
 /** One real gateway: wires its parts, reads its configuration again at SIGHUP, and ends them at SIGTERM. */
 public final class Main {
@@ -175,7 +175,7 @@
             Consumer<String> out) {
         int most = connectionsMost(config.sockets());
         return CompletableFuture.supplyAsync(() -> {
-            Gateway gateway = new Gateway(config, loop, nanoTime, new Balance(), tally, most, openMost(most), out);
+            Gateway gateway = new Gateway(config, loop, nanoTime, new HeadroomBalancer(), tally, most, openMost(most), out);
             if (config.admin() != null) {
                 gateway.keepFigures();
             }
--- a/src/main/java/mastdrift/net/Rehearsal.java
+++ b/src/main/java/mastdrift/net/Rehearsal.java
@@ -29,10 +29,10 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import java.util.stream.IntStream;
-import mastdrift.Balance;
-import mastdrift.Balancer.Health;
+import mastdrift.HeadroomBalancer;
+import mastdrift.Balancer.HostState;
 import mastdrift.Balancer.Host;
-import mastdrift.Balancer.Repeat;
+import mastdrift.Balancer.Idempotency;
 import mastdrift.Balancer.RequestClass;
 
 /** Loads and compiles the path of a request before the first one comes: a cold virtual machine takes 5 ms of its core
@@ -66,12 +66,12 @@
                     }).bind(any).sync().channel();
             InetSocketAddress at = (InetSocketAddress) host.localAddress();
             List<HostList.Entry> hosts = IntStream.range(0, HOSTS).mapToObj(i -> new HostList.Entry(
-                    new Host("rehearsal-" + i, config.settings().site().zone(), 0, "", 1, Health.UP, 0), at)).toList();
+                    new Host("rehearsal-" + i, config.settings().topology().zone(), 0, "", 1, HostState.IN_SERVICE, 0), at)).toList();
             Config rehearsed = new Config(any, false, null, at, config.sockets(), new HostList(0, true, hosts),
                     config.settings());
             Life life = new Life();
             ClientSide clients = CompletableFuture.supplyAsync(() -> new ClientSide(loop, new Gateway(rehearsed, loop,
-                    System::nanoTime, new Balance(), rehearsed.tally(), HOSTS * 2, HOSTS, line -> { }), config.settings(), HOSTS, life), loop)
+                    System::nanoTime, new HeadroomBalancer(), rehearsed.tally(), HOSTS * 2, HOSTS, line -> { }), config.settings(), HOSTS, life), loop)
                     .join();
             clients.listen(any).sync();
             life.started(() -> { });
@@ -126,12 +126,12 @@
         List<RequestClass> classes = config.settings().classes();
         String tenant = config.settings().tenants().isEmpty() ? "none" : config.settings().tenants().get(0).name();
         RequestClass type = classes.get(number % classes.size());
-        boolean safe = type.repeat() == Repeat.SAFE;
+        boolean safe = type.idempotency() == Idempotency.SAFE;
         boolean isLong = longToo && !safe && number % LONG_EVERY == LONG_EVERY - 1;
         return (number == 0 ? "GET /ready" : safe ? "GET /api" : "POST /api")
                 + " HTTP/1.1\r\nHost: rehearsal\r\nX-Trace-Id: " + number + "\r\nX-Qos: " + type.name()
                 + "\r\nX-Customer: " + tenant + "\r\nX-Object: " + number % HOSTS + "\r\n" + HostPool.EXPIRES + ": "
-                + PATIENCE_MILLIS + (type.repeat() == Repeat.KEYED ? "\r\nIdempotency-Key: " + number : "")
+                + PATIENCE_MILLIS + (type.idempotency() == Idempotency.KEYED ? "\r\nIdempotency-Key: " + number : "")
                 + "\r\nContent-Length: " + (safe ? "0\r\n\r\n" : isLong ? LONG_BODY_BYTES + "\r\n\r\n" + longBody
                 : "4\r\n\r\nbody");
     }
