--- a/src/main/java/mastdrift/wire/Adapter.java
+++ b/src/main/java/mastdrift/wire/Adapter.java
@@ -1,9 +1,9 @@
 package mastdrift.wire;
 
 import mastdrift.Balancer;
-import mastdrift.Balancer.Health;
+import mastdrift.Balancer.HostState;
 import mastdrift.Balancer.Host;
-import mastdrift.Balancer.ListForm;
+import mastdrift.Balancer.ListUpdateType;
 import mastdrift.Balancer.LoadReport;
 import mastdrift.Balancer.Outcome;
 import java.io.BufferedReader;
@@ -122,28 +122,28 @@
         }
         switch (tag) {
             case "discovery":
-                ListForm form = form(f);
+                ListUpdateType form = form(f);
                 List<Host> hosts = entries(f);
-                return () -> module.hosts(now, form, hosts);
+                return () -> module.hostListReceived(now, form, hosts);
             case "call":
                 Balancer.Request request = call(f);
-                return () -> module.request(now, request);
+                return () -> module.requestReceived(now, request);
             case "under_way":
                 long started = f.number("a request id");
                 int go = (int) f.number("an attempt number");
-                return () -> module.streaming(now, started, go);
+                return () -> module.streamingStarted(now, started, go);
             case "resolved":
                 return resolved(module, f);
             case "gone":
                 long id = f.number("a request id");
-                return () -> module.departed(now, id);
+                return () -> module.clientLeft(now, id);
             case "timer":
                 String handle = f.text("a handle");
-                return () -> module.timer(now, handle);
+                return () -> module.timerFired(now, handle);
             case "from_peer":
                 int peer = (int) f.number("a peer's number");
                 byte[] message = f.bytes("a message");
-                return () -> module.told(now, peer, message);
+                return () -> module.peerMessageReceived(now, peer, message);
             default:
                 return echo(module, f);
         }
@@ -171,7 +171,7 @@
         long elapsed = f.number("the elapsed time");
         boolean over = f.flag("over");
         LoadReport report = metrics(f);
-        return () -> module.resolved(now, id, go, host, outcome, elapsed, over, report);
+        return () -> module.attemptEnded(now, id, go, host, outcome, elapsed, over, report);
     }
 
     private Runnable echo(Balancer module, Fields f) {
@@ -179,7 +179,7 @@
         Outcome outcome = outcome(f);
         long elapsed = f.number("the elapsed time");
         LoadReport report = metrics(f);
-        return () -> module.probed(now, host, outcome, elapsed, report);
+        return () -> module.probeEnded(now, host, outcome, elapsed, report);
     }
 
     private static Outcome outcome(Fields f) {
@@ -197,13 +197,13 @@
         };
     }
 
-    private static ListForm form(Fields f) {
+    private static ListUpdateType form(Fields f) {
         String word = f.text("the form of the list");
         return switch (word) {
-            case "delta" -> ListForm.DELTA;
-            case "full" -> ListForm.FULL;
-            case "cached" -> ListForm.CACHED;
-            case "failed" -> ListForm.FAILED;
+            case "delta" -> ListUpdateType.DELTA;
+            case "full" -> ListUpdateType.FULL;
+            case "cached" -> ListUpdateType.CACHED;
+            case "failed" -> ListUpdateType.FAILED;
             default -> throw f.expected("delta, full, cached or failed, not " + word);
         };
     }
@@ -232,10 +232,10 @@
         double weight = f.real("a capacity", 1);
         String kind = f.text("a kind");
         String health = f.text("a health");
-        Health state = switch (health) {
-            case "U" -> Health.UP;
-            case "L" -> Health.LEAVING;
-            case "D" -> Health.GONE;
+        HostState state = switch (health) {
+            case "U" -> HostState.IN_SERVICE;
+            case "L" -> HostState.TERMINATING;
+            case "D" -> HostState.TERMINATED;
             default -> throw f.expected("a health of U, L or D, not " + health);
         };
         return new Host(address, zone, pod, kind, weight, state, f.number("a start time", 0));
@@ -299,7 +299,7 @@
         }
 
         @Override
-        public void timer(long at, String handle) {
+        public void scheduleTimer(long at, String handle) {
             line("after").append(at).append(' ').append(handle).append('\n');
         }
 
@@ -309,22 +309,22 @@
         }
 
         @Override
-        public void watch(boolean active) {
+        public void watchHostList(boolean active) {
             line("watch").append(active ? "1\n" : "0\n");
         }
 
         @Override
-        public void fetch() {
+        public void fetchHostList() {
             reply.append("pull ").append(name).append('\n');
         }
 
         @Override
-        public void closeIdle(String address) {
+        public void closeIdleConnections(String address) {
             line("free_links").append(address).append('\n');
         }
 
         @Override
-        public void tell(int peer, byte[] message) {
+        public void sendToPeer(int peer, byte[] message) {
             line("notify").append(peer < 0 ? "*" : "" + peer).append(' ').append(Fields.hex(message)).append('\n');
         }
 
--- a/src/main/java/mastdrift/wire/Facts.java
+++ b/src/main/java/mastdrift/wire/Facts.java
@@ -1,21 +1,21 @@
 package mastdrift.wire;
 
-import mastdrift.Balancer.Cpu;
-import mastdrift.Balancer.Goal;
-import mastdrift.Balancer.Group;
-import mastdrift.Balancer.Habits;
+import mastdrift.Balancer.CpuBudget;
+import mastdrift.Balancer.ScoreWeights;
+import mastdrift.Balancer.DedupScope;
+import mastdrift.Balancer.Capabilities;
 import mastdrift.Balancer.Limits;
-import mastdrift.Balancer.Links;
-import mastdrift.Balancer.Prices;
-import mastdrift.Balancer.Repeat;
-import mastdrift.Balancer.Reports;
+import mastdrift.Balancer.ConnectionSettings;
+import mastdrift.Balancer.Penalties;
+import mastdrift.Balancer.Idempotency;
+import mastdrift.Balancer.LoadReportMode;
 import mastdrift.Balancer.RequestClass;
-import mastdrift.Balancer.Rules;
+import mastdrift.Balancer.Guarantees;
 import mastdrift.Balancer.Settings;
-import mastdrift.Balancer.Site;
+import mastdrift.Balancer.Topology;
 import mastdrift.Balancer.Tenant;
-import mastdrift.Balancer.Value;
-import mastdrift.Balancer.Weights;
+import mastdrift.Balancer.Scoring;
+import mastdrift.Balancer.WeightMode;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -60,41 +60,41 @@
                 flag("allowed.may_tell", false), whole("allowed.max_attempts"),
                 whole("allowed.max_open", Integer.MAX_VALUE), flag("allowed.retry_after"),
                 number("allowed.max_retry_after"));
-        Links links = new Links(number("allowed.dial_timeout"), number("allowed.conn_idle", Long.MAX_VALUE),
+        ConnectionSettings links = new ConnectionSettings(number("allowed.dial_timeout"), number("allowed.conn_idle", Long.MAX_VALUE),
                 whole("allowed.streams_per_conn", 1));
-        Cpu cpu = new Cpu(number("allowed.cpu_us_per_s", Long.MAX_VALUE), real("allowed.cpu_us_per_request", 0));
-        Rules rules = new Rules(number("guarantees.answer_slack", 0), number("guarantees.drain_grace", 0),
+        CpuBudget cpu = new CpuBudget(number("allowed.cpu_us_per_s", Long.MAX_VALUE), real("allowed.cpu_us_per_request", 0));
+        Guarantees rules = new Guarantees(number("guarantees.answer_slack", 0), number("guarantees.drain_grace", 0),
                 onRequest ? number("guarantees.must_ask_in") : 0, real("guarantees.cold_from"),
                 number("guarantees.warm_within"), real("guarantees.tip_multiple"), number("guarantees.fall"));
-        Site site = new Site(whole("me", 0), whole("balancers"), text("locality"), list("dcs"), list("skus"),
+        Topology site = new Topology(whole("me", 0), whole("balancers"), text("locality"), list("dcs"), list("skus"),
                 whole("layer", 0), list("stages"));
         boolean byWork = values.containsKey("worth_by") && oneOf("worth_by", "request", "work") == 1;
-        Value value = new Value(goal(), prices(), real("over_share_worth", 1), byWork);
-        Reports reports = values.containsKey("stats.how")
-                ? Reports.values()[oneOf("stats.how", "inline", "on_probe", "off")] : Reports.OFF;
-        Habits habits = new Habits(flag("family_info.warm_keys", false), flag("family_info.passes_deadline", false),
+        Scoring value = new Scoring(goal(), prices(), real("over_share_worth", 1), byWork);
+        LoadReportMode reports = values.containsKey("stats.how")
+                ? LoadReportMode.values()[oneOf("stats.how", "inline", "on_probe", "off")] : LoadReportMode.OFF;
+        Capabilities habits = new Capabilities(flag("family_info.warm_keys", false), flag("family_info.passes_deadline", false),
                 reports, list("stats.names"), flag("client_habits.marks_retry", false));
-        Weights weights = Weights.values()[oneOf("weights", "off", "nominal", "rough", "live")];
+        WeightMode weights = WeightMode.values()[oneOf("weights", "off", "nominal", "rough", "live")];
         return new Settings(classes, tenants, limits, links, cpu, rules, value, site, habits, onRequest, weights,
                 values.getOrDefault("service_type", ""), number("resolution", 0), seed);
     }
 
     private RequestClass requestClass(String path) {
-        Repeat repeat = Repeat.values()[oneOf(path + "repeat", "read_like", "idempotency_key", "non_idempotent")];
-        boolean keyed = repeat == Repeat.KEYED;
-        Group group = keyed ? Group.values()[oneOf(path + "group", "all", "zone", "cell")] : Group.ALL;
+        Idempotency repeat = Idempotency.values()[oneOf(path + "repeat", "read_like", "idempotency_key", "non_idempotent")];
+        boolean keyed = repeat == Idempotency.KEYED;
+        DedupScope group = keyed ? DedupScope.values()[oneOf(path + "group", "all", "zone", "cell")] : DedupScope.ALL;
         return new RequestClass(text(path + "name"), number(path + "target"), real(path + "aim_stretch", 0),
                 number(path + "deadline"), real(path + "credit"), real(path + "late_share"), repeat, group,
                 keyed ? number(path + "dedup_window") : 0, flag(path + "stream", false));
     }
 
-    private Goal goal() {
-        return new Goal(real("goal.whole", 1), real("goal.worst_window", 0), real("goal.worst_class", 0),
+    private ScoreWeights goal() {
+        return new ScoreWeights(real("goal.whole", 1), real("goal.worst_window", 0), real("goal.worst_class", 0),
                 real("goal.worst_tenant", 0));
     }
 
-    private Prices prices() {
-        return new Prices(price("cross_zone"), price("waste"), price("connection"), price("handshake"),
+    private Penalties prices() {
+        return new Penalties(price("cross_zone"), price("waste"), price("connection"), price("handshake"),
                 price("origin"), price("probe"), price("peer"), price("late_fail"), price("moves"),
                 price("registry_mode"), price("fleet"));
     }
--- a/src/main/java/mastdrift/wire/Main.java
+++ b/src/main/java/mastdrift/wire/Main.java
@@ -1,6 +1,6 @@
 package mastdrift.wire;
 
-import mastdrift.Balance;
+import mastdrift.HeadroomBalancer;
 import java.io.BufferedReader;
 import java.io.BufferedWriter;
 import java.io.IOException;
@@ -33,7 +33,7 @@
         BufferedReader reader = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), 1 << 16);
         BufferedWriter writer = new BufferedWriter(new OutputStreamWriter(out, StandardCharsets.UTF_8), 1 << 16);
         try {
-            new Adapter(reader, writer, err, Balance::new).run();
+            new Adapter(reader, writer, err, HeadroomBalancer::new).run();
             return 0;
         } catch (MalformedLineException e) {
             err.println(e.getMessage());
--- a/src/test/java/mastdrift/ColdFleetTest.java
+++ b/src/test/java/mastdrift/ColdFleetTest.java
@@ -10,12 +10,12 @@
 import java.util.PriorityQueue;
 import java.util.Random;
 import java.util.stream.IntStream;
-import mastdrift.Balancer.Health;
+import mastdrift.Balancer.HostState;
 import mastdrift.Balancer.Host;
-import mastdrift.Balancer.ListForm;
+import mastdrift.Balancer.ListUpdateType;
 import mastdrift.Balancer.Outcome;
-import mastdrift.Balancer.Rules;
-import mastdrift.Balancer.Weights;
+import mastdrift.Balancer.Guarantees;
+import mastdrift.Balancer.WeightMode;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
@@ -23,7 +23,7 @@
     keys and a seed of its own; hosts are queues in simulated time. */
 class ColdFleetTest {
 
-    private static final Rules RULES = new Rules(20_000, 1_500_000, 0, 0.32, 8_000_000, 4, 1_000_000);
+    private static final Guarantees RULES = new Guarantees(20_000, 1_500_000, 0, 0.32, 8_000_000, 4, 1_000_000);
         private static final long STEP = 5_000;
     private static final long SECOND = 1_000_000;
     private static final long JOINS = 11 * SECOND;
@@ -46,7 +46,7 @@
         }
 
         double warmth(long now) {
-            return born == 0 ? 1 : Math.min(1, RULES.coldFrom() + (1 - RULES.coldFrom()) * (now - born) / RULES.warmWithin());
+            return born == 0 ? 1 : Math.min(1, RULES.coldCapacityFraction() + (1 - RULES.coldCapacityFraction()) * (now - born) / RULES.warmUpTime());
         }
 
         /** When it has served one that comes now. */
@@ -64,10 +64,10 @@
         /** By how much the last span goes beyond what the rule puts down to chance: not above 0. */
         double beyond(long now) {
             came.add(now);
-            while (came.peek() <= now - RULES.fallSpan()) {
+            while (came.peek() <= now - RULES.overloadWindow()) {
                 came.poll();
             }
-            double budget = RULES.fallMultiple() * rate * warmth(now) * RULES.fallSpan() / 1e6;
+            double budget = RULES.overloadMultiple() * rate * warmth(now) * RULES.overloadWindow() / 1e6;
             return came.size() - (budget + 2 * Math.sqrt(budget) + 2);
         }
     }
@@ -83,12 +83,12 @@
         private final int size;
         private final int hosts;
         private final Kind kind;
-        private final Weights weights;
+        private final WeightMode weights;
         private double beyond = Double.NEGATIVE_INFINITY;  // the most that a span held over the budget
         private int sent;  // to the cold host
         private double may;  // of what a warm one served, the part that a cold one can do
 
-        Fleet(int size, int hosts, double rate, Kind kind, Weights weights) {
+        Fleet(int size, int hosts, double rate, Kind kind, WeightMode weights) {
             this.size = size;
             this.hosts = hosts;
             this.kind = kind;
@@ -107,13 +107,13 @@
             gateway.seed = seed;
             gateway.now = now;
             gateway.start(0);
-            gateway.list(ListForm.FULL, hosts(now));
+            gateway.list(ListUpdateType.FULL, hosts(now));
             return gateway;
         }
 
         private Host[] hosts(long now) {
             return IntStream.range(0, hosts).mapToObj(i -> new Host("h" + i, "z0", 0, "std",
-                    weights == Weights.LIVE ? 1 / (1 + machines.get(i).load(now)) : 1, Health.UP, machines.get(i).born))
+                    weights == WeightMode.LIVE ? 1 / (1 + machines.get(i).load(now)) : 1, HostState.IN_SERVICE, machines.get(i).born))
                     .toArray(Host[]::new);
         }
 
@@ -155,7 +155,7 @@
             Host[] hosts = hosts(now);
             gateways.forEach(gateway -> {
                 gateway.advance(now - gateway.now);
-                gateway.list(ListForm.FULL, hosts);
+                gateway.list(ListUpdateType.FULL, hosts);
             });
         }
 
@@ -207,14 +207,14 @@
         "5, 8, 4", "30, 8, 4"})
     void theSumOfAFleetsSendsKeepsToAColdHostsBudget(int gateways, double burst, int hosts) {
         for (Kind kind : Kind.values()) {
-            for (Weights weights : List.of(Weights.OFF, Weights.LIVE)) {
+            for (WeightMode weights : List.of(WeightMode.OFF, WeightMode.LIVE)) {
                 for (double rate : new double[] {10, 80}) {
                     Fleet fleet = new Fleet(gateways, hosts, rate, kind, weights);
                     fleet.play(0.3, burst);
                     String told = kind + " " + weights + ", " + rate + " a second and host: ";
                     assertTrue(fleet.sent > 0, told + "nothing sent to the cold host");
                     assertTrue(fleet.beyond <= 0, told + "sent beyond the budget " + fleet.beyond);
-                    if (kind == Kind.PLAIN && weights == Weights.LIVE && burst <= 1) {
+                    if (kind == Kind.PLAIN && weights == WeightMode.LIVE && burst <= 1) {
                         assertTrue(2 * fleet.sent >= fleet.may, told + "sent " + fleet.sent + " of " + fleet.may);
                     }
                 }
--- a/src/test/java/mastdrift/ColdHostTest.java
+++ b/src/test/java/mastdrift/ColdHostTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import mastdrift.Balancer.ListForm;
+import mastdrift.Balancer.ListUpdateType;
 import mastdrift.Balancer.Outcome;
 import org.junit.jupiter.api.Test;
 
@@ -14,7 +14,7 @@
     void coldHostGetsItsPartOfWhatWarmOnesServeNotOfWhatTheyAreSent() {
         Gateway gateway = new Gateway().start(4);
         overload(gateway, 800);
-        gateway.list(ListForm.DELTA, Gateway.up(9, gateway.now));
+        gateway.list(ListUpdateType.DELTA, Gateway.up(9, gateway.now));
         int before = gateway.sent.size();
         overload(gateway, 400);
         long cold = gateway.sent.stream().skip(before).filter(s -> s.address().equals("h9")).count();
@@ -27,7 +27,7 @@
     void coldHostWhoseClientsGiveUpIsNotSentMore() {
         Gateway gateway = new Gateway().start(2);
         gateway.serve(1000, 5_000, 5_000);
-        gateway.list(ListForm.DELTA, Gateway.up(9, gateway.now));
+        gateway.list(ListUpdateType.DELTA, Gateway.up(9, gateway.now));
         int cold = 0;
         for (int i = 0; i < 400; i++) {
             int before = gateway.sent.size();
@@ -36,7 +36,7 @@
             boolean toCold = gateway.sent.size() > before && gateway.last().address().equals("h9");
             cold += toCold ? 1 : 0;
             if (toCold) {
-                gateway.module.departed(gateway.now, gateway.last().id());
+                gateway.module.clientLeft(gateway.now, gateway.last().id());
             } else {
                 gateway.end(gateway.last(), Outcome.DELIVERED, 5_000);
             }
@@ -53,7 +53,7 @@
             if (gateway.sent.size() > before && i % 5 == 0) {
                 gateway.end(gateway.last(), Outcome.DELIVERED, 5_000);
             } else if (gateway.sent.size() > before) {
-                gateway.module.departed(gateway.now, gateway.last().id());
+                gateway.module.clientLeft(gateway.now, gateway.last().id());
             }
         }
     }
@@ -65,7 +65,7 @@
         Gateway gateway = new Gateway().start(0);
         long restarted = gateway.now;
         gateway.advance(11_000_000);
-        gateway.list(ListForm.FULL, Gateway.up(0, 0), Gateway.up(2, restarted), Gateway.up(4, restarted),
+        gateway.list(ListUpdateType.FULL, Gateway.up(0, 0), Gateway.up(2, restarted), Gateway.up(4, restarted),
                 Gateway.up(6, restarted));
         for (int i = 0; i < 80; i++) {
             gateway.request(10_000L + i);
--- a/src/test/java/mastdrift/DrawTest.java
+++ b/src/test/java/mastdrift/DrawTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import mastdrift.Balancer.Host;
-import mastdrift.Balancer.ListForm;
+import mastdrift.Balancer.ListUpdateType;
 import mastdrift.Balancer.Outcome;
 import java.util.ArrayList;
 import java.util.Collections;
@@ -56,7 +56,7 @@
     private static Map<Long, String> placed(List<Host> hosts, int keys) {
         Gateway gateway = new Gateway();
         gateway.module.start(gateway.now, gateway.settings(), gateway);
-        gateway.module.hosts(gateway.now, ListForm.CACHED, hosts);
+        gateway.module.hostListReceived(gateway.now, ListUpdateType.CACHED, hosts);
         for (long key = 0; key < keys; key++) {
             gateway.request(key);
             gateway.end(gateway.last(), Outcome.DELIVERED, 10_000);
--- a/src/test/java/mastdrift/EdgeTest.java
+++ b/src/test/java/mastdrift/EdgeTest.java
@@ -4,11 +4,11 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import mastdrift.Balancer.Group;
-import mastdrift.Balancer.Health;
-import mastdrift.Balancer.ListForm;
+import mastdrift.Balancer.DedupScope;
+import mastdrift.Balancer.HostState;
+import mastdrift.Balancer.ListUpdateType;
 import mastdrift.Balancer.Outcome;
-import mastdrift.Balancer.Repeat;
+import mastdrift.Balancer.Idempotency;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -27,14 +27,14 @@
         Gateway.Sent send = gateway.last();
         gateway.end(send, Outcome.DELIVERED);
         gateway.end(send, Outcome.ERROR);
-        gateway.module.resolved(gateway.now, id, 9, "h1", Outcome.EXPIRED, 1, false, Gateway.NO_REPORT);
-        gateway.module.resolved(gateway.now, id, -1, "nowhere", Outcome.EXPIRED, 1, false, Gateway.NO_REPORT);
-        gateway.module.departed(gateway.now, id);
-        gateway.module.departed(gateway.now, 4711);
-        gateway.module.streaming(gateway.now, 4711, 0);
-        gateway.module.probed(gateway.now, "nowhere", Outcome.DELIVERED, 1, Gateway.NO_REPORT);
-        gateway.module.timer(gateway.now, "unknown");
-        gateway.list(ListForm.DELTA, Gateway.host(77, Health.GONE, 0));
+        gateway.module.attemptEnded(gateway.now, id, 9, "h1", Outcome.EXPIRED, 1, false, Gateway.NO_REPORT);
+        gateway.module.attemptEnded(gateway.now, id, -1, "nowhere", Outcome.EXPIRED, 1, false, Gateway.NO_REPORT);
+        gateway.module.clientLeft(gateway.now, id);
+        gateway.module.clientLeft(gateway.now, 4711);
+        gateway.module.streamingStarted(gateway.now, 4711, 0);
+        gateway.module.probeEnded(gateway.now, "nowhere", Outcome.DELIVERED, 1, Gateway.NO_REPORT);
+        gateway.module.timerFired(gateway.now, "unknown");
+        gateway.list(ListUpdateType.DELTA, Gateway.host(77, HostState.TERMINATED, 0));
         assertEquals(1, gateway.sent.size());
         assertTrue(gateway.refused.isEmpty() && gateway.failed.isEmpty() && gateway.cancelled.isEmpty());
     }
@@ -60,10 +60,10 @@
         Gateway gateway = new Gateway().start(0);
         gateway.request(7L);
         assertEquals(1, gateway.refused.size());
-        gateway.list(ListForm.FULL, Gateway.up(1, 0), Gateway.up(1, 0));
+        gateway.list(ListUpdateType.FULL, Gateway.up(1, 0), Gateway.up(1, 0));
         gateway.request(8L);
         assertEquals("h1", gateway.last().address());
-        gateway.list(ListForm.FULL);
+        gateway.list(ListUpdateType.FULL);
         gateway.request(9L);
         assertEquals(2, gateway.refused.size());
     }
@@ -74,7 +74,7 @@
         assertThrows(IllegalArgumentException.class, () -> gateway.request("other", null, 1L, 1000));
         gateway.request(1L);
         Gateway.Sent send = gateway.last();
-        assertThrows(IllegalArgumentException.class, () -> gateway.module.request(gateway.now,
+        assertThrows(IllegalArgumentException.class, () -> gateway.module.requestReceived(gateway.now,
                 new Balancer.Request(send.id(), "read", null, 1L, 1000)));
     }
 
@@ -87,7 +87,7 @@
         for (int i = 0; i < 200; i++) {
             gateway.advance(20_000_000);
             int before = gateway.watches;
-            gateway.module.hosts(gateway.now, ListForm.FAILED, List.of());
+            gateway.module.hostListReceived(gateway.now, ListUpdateType.FAILED, List.of());
             gateway.advance(20_000_000);
             assertEquals(before + 1, gateway.watches, "failure " + i);
         }
@@ -119,7 +119,7 @@
         Set<Long> sums = new HashSet<>();
         for (int g = 0; g < 20; g++) {
             Gateway gateway = new Gateway();
-            gateway.rules = new Balancer.Rules(20_000, grace, 0, 0.2, 10_000_000, 3, 2_000_000);
+            gateway.rules = new Balancer.Guarantees(20_000, grace, 0, 0.2, 10_000_000, 3, 2_000_000);
             List<Long> pauses = refuse(gateway, g, 20_000_000);
             sums.add(pauses.get(0) + pauses.get(1) + pauses.get(2));
             assertTrue(pauses.stream().allMatch(pause -> pause <= grace / 2 + 1_000), "paused " + pauses);
@@ -136,7 +136,7 @@
         for (long startedAt = gateway.now; gateway.now - startedAt < span; ) {
             int before = gateway.watches;
             long failedAt = gateway.now;
-            gateway.module.hosts(gateway.now, ListForm.FAILED, List.of());
+            gateway.module.hostListReceived(gateway.now, ListUpdateType.FAILED, List.of());
             while (gateway.watches == before) {
                 gateway.advance(1_000);
             }
@@ -155,12 +155,12 @@
         gateway.start(2);
         for (int call = 0; call < 70; call++) {
             int before = gateway.watches;
-            gateway.module.hosts(gateway.now, ListForm.FAILED, List.of());
+            gateway.module.hostListReceived(gateway.now, ListUpdateType.FAILED, List.of());
             gateway.advance(2_000_000);
             assertEquals(before + 1, gateway.watches);
             gateway.advance(4_000_000);
             before = gateway.watches;
-            gateway.module.hosts(gateway.now, ListForm.FAILED, List.of());
+            gateway.module.hostListReceived(gateway.now, ListUpdateType.FAILED, List.of());
             gateway.advance(1_000_000);
             assertEquals(before + 1, gateway.watches);
             gateway.advance(4_000_000);
@@ -181,7 +181,7 @@
             gateway.advance(5_000_000);
             int before = gateway.watches;
             long brokeAt = gateway.now;
-            gateway.module.hosts(gateway.now, ListForm.FAILED, List.of());
+            gateway.module.hostListReceived(gateway.now, ListUpdateType.FAILED, List.of());
             while (gateway.watches == before) {
                 gateway.advance(1_000);
             }
@@ -211,8 +211,8 @@
         gateway.parallel = false;
         gateway.retryAfter = false;
         gateway.maxAttempts = 1;
-        gateway.repeat = Repeat.KEYED;
-        gateway.group = Group.CELL;
+        gateway.repeat = Idempotency.KEYED;
+        gateway.group = DedupScope.CELL;
         gateway.window = 0;
         gateway.start(1);
         for (int i = 0; i < 200; i++) {
--- a/src/test/java/mastdrift/EmbeddingTest.java
+++ b/src/test/java/mastdrift/EmbeddingTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import mastdrift.Balancer.Host;
-import mastdrift.Balancer.ListForm;
+import mastdrift.Balancer.ListUpdateType;
 import mastdrift.Balancer.Request;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -22,10 +22,10 @@
         List<Host> knownHosts = List.of(Gateway.up(0, 0), Gateway.up(1, 0));
         long now = 1_000_000;
 
-        Balancer balancer = new Balance();
+        Balancer balancer = new HeadroomBalancer();
         balancer.start(now, settings, actions);              // once, first
-        balancer.hosts(now, ListForm.CACHED, knownHosts);    // in the same moment
-        balancer.request(now, new Request(7, "read", null, 4711L, 800_000));
+        balancer.hostListReceived(now, ListUpdateType.CACHED, knownHosts);    // in the same moment
+        balancer.requestReceived(now, new Request(7, "read", null, 4711L, 800_000));
 
         assertEquals(1, actions.sent.size());
         List<String> here = Files.readAllLines(Path.of("src/test/java/mastdrift/EmbeddingTest.java")).stream()
--- a/src/test/java/mastdrift/FailingServerTest.java
+++ b/src/test/java/mastdrift/FailingServerTest.java
@@ -53,7 +53,7 @@
                 Gateway.Sent send = gateway.sent.get(before);
                 boolean hole = send.address().equals("h3");
                 gateway.end(send, hole || i % 2 == 0 ? Outcome.ERROR : Outcome.DELIVERED, hole ? 1_000 : 20_000);
-                gateway.module.departed(gateway.now, send.id());
+                gateway.module.clientLeft(gateway.now, send.id());
                 toBlackHole += hole && i >= 600 ? 1 : 0;
             }
         }
@@ -72,7 +72,7 @@
                 boolean fails = send.address().startsWith(prefix) && turn[0]++ % nth == 0;
                 gateway.end(send, fails ? Outcome.EXPIRED : Outcome.DELIVERED, 10_000);
                 if (fails) {
-                    gateway.module.departed(gateway.now, send.id());
+                    gateway.module.clientLeft(gateway.now, send.id());
                 }
             }
         }
--- a/src/test/java/mastdrift/FleetTest.java
+++ b/src/test/java/mastdrift/FleetTest.java
@@ -7,11 +7,11 @@
 import java.util.List;
 import java.util.Map;
 import java.util.stream.IntStream;
-import mastdrift.Balancer.Health;
+import mastdrift.Balancer.HostState;
 import mastdrift.Balancer.Host;
-import mastdrift.Balancer.ListForm;
+import mastdrift.Balancer.ListUpdateType;
 import mastdrift.Balancer.Outcome;
-import mastdrift.Balancer.Weights;
+import mastdrift.Balancer.WeightMode;
 import org.junit.jupiter.api.Test;
 
 /** What many gateways do together, each with seed and keys of its own and in simulated time. Their zone is z0. */
@@ -41,8 +41,8 @@
                 calm = i < 200 ? gateway.refused.size() : calm;
                 if (i % 20 == 0) {
                     double load = i < 200 ? 0.5 : 9;
-                    gateway.list(ListForm.FULL, IntStream.range(0, HOSTS).mapToObj(h -> new Host("h" + h, "z" + h % 2, h / 4,
-                            "std", 2 / (1 + (h < 2 ? 0 : h < 50 ? 0.5 : load)), Health.UP, 0)).toArray(Host[]::new));
+                    gateway.list(ListUpdateType.FULL, IntStream.range(0, HOSTS).mapToObj(h -> new Host("h" + h, "z" + h % 2, h / 4,
+                            "std", 2 / (1 + (h < 2 ? 0 : h < 50 ? 0.5 : load)), HostState.IN_SERVICE, 0)).toArray(Host[]::new));
                 }
                 gateway.serve(1, 40_000, 40_000);
             }
@@ -81,8 +81,8 @@
             long born = gateway.now;
             for (int i = 0; i < 200; i++) {
                 if (i % 20 == 0) {
-                    gateway.list(ListForm.FULL, IntStream.range(0, HOSTS).mapToObj(h -> new Host("h" + h, "z" + h % 2,
-                            h / 4, "std", 2 / (1 + (h < 10 ? 0 : load)), Health.UP, born)).toArray(Host[]::new));
+                    gateway.list(ListUpdateType.FULL, IntStream.range(0, HOSTS).mapToObj(h -> new Host("h" + h, "z" + h % 2,
+                            h / 4, "std", 2 / (1 + (h < 10 ? 0 : load)), HostState.IN_SERVICE, born)).toArray(Host[]::new));
                 }
                 gateway.serve(1, 25_000, 25_000);
             }
@@ -120,7 +120,7 @@
             Gateway gateway = new Gateway();
             gateway.seed = 100 + i;
             gateway.gateways = gateways;
-            gateway.weights = Weights.LIVE;
+            gateway.weights = WeightMode.LIVE;
             fleet.add(gateway.start(0));
         }
         return fleet;
@@ -136,7 +136,7 @@
             for (int i = 0; i < 400; i++) {
                 before = i == 200 ? gateway.sent.size() : before;
                 if (i % 20 == 0) {
-                    gateway.list(ListForm.FULL, hosts(homeLoad, awayLoad));
+                    gateway.list(ListUpdateType.FULL, hosts(homeLoad, awayLoad));
                 }
                 gateway.serve(1, 25_000, 25_000);
             }
@@ -150,7 +150,7 @@
     private static Host[] hosts(double homeLoad, double awayLoad) {
         return IntStream.range(0, HOSTS).mapToObj(i -> {
             double load = i < 2 ? 0 : i % 2 == 0 ? homeLoad : awayLoad;
-            return new Host("h" + i, "z" + i % 2, i / 4, "std", 2 / (1 + load), Health.UP, 0);
+            return new Host("h" + i, "z" + i % 2, i / 4, "std", 2 / (1 + load), HostState.IN_SERVICE, 0);
         }).toArray(Host[]::new);
     }
 }
--- a/src/test/java/mastdrift/Gateway.java
+++ b/src/test/java/mastdrift/Gateway.java
@@ -1,27 +1,27 @@
 package mastdrift;
 
-import mastdrift.Balancer.Cpu;
-import mastdrift.Balancer.Goal;
-import mastdrift.Balancer.Group;
-import mastdrift.Balancer.Habits;
-import mastdrift.Balancer.Health;
+import mastdrift.Balancer.CpuBudget;
+import mastdrift.Balancer.ScoreWeights;
+import mastdrift.Balancer.DedupScope;
+import mastdrift.Balancer.Capabilities;
+import mastdrift.Balancer.HostState;
 import mastdrift.Balancer.Host;
 import mastdrift.Balancer.Limits;
-import mastdrift.Balancer.Links;
-import mastdrift.Balancer.ListForm;
+import mastdrift.Balancer.ConnectionSettings;
+import mastdrift.Balancer.ListUpdateType;
 import mastdrift.Balancer.LoadReport;
 import mastdrift.Balancer.Outcome;
-import mastdrift.Balancer.Prices;
-import mastdrift.Balancer.Repeat;
-import mastdrift.Balancer.Reports;
+import mastdrift.Balancer.Penalties;
+import mastdrift.Balancer.Idempotency;
+import mastdrift.Balancer.LoadReportMode;
 import mastdrift.Balancer.Request;
 import mastdrift.Balancer.RequestClass;
-import mastdrift.Balancer.Rules;
+import mastdrift.Balancer.Guarantees;
 import mastdrift.Balancer.Settings;
-import mastdrift.Balancer.Site;
+import mastdrift.Balancer.Topology;
 import mastdrift.Balancer.Tenant;
-import mastdrift.Balancer.Value;
-import mastdrift.Balancer.Weights;
+import mastdrift.Balancer.Scoring;
+import mastdrift.Balancer.WeightMode;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -37,7 +37,7 @@
     /** One send. */
     record Sent(long id, int attempt, String address, long timeout, long at) { }
 
-    final Balancer module = new Balance();
+    final Balancer module = new HeadroomBalancer();
     final List<Sent> sent = new ArrayList<>();
     final List<String> refused = new ArrayList<>();
     final List<String> failed = new ArrayList<>();
@@ -54,8 +54,8 @@
 
     // ---- settings, changed before start
 
-    Repeat repeat = Repeat.SAFE;
-    Group group = Group.ALL;
+    Idempotency repeat = Idempotency.SAFE;
+    DedupScope group = DedupScope.ALL;
     long window = 2_000_000;
     boolean cancel = true;
     boolean probing = true;
@@ -64,10 +64,10 @@
     boolean retryAfter = true;
     int gateways = 1;
     int me;
-    Rules rules;  // or those of below
+    Guarantees rules;  // or those of below
     long seed = 42;
     long mustAskIn;
-    Weights weights = Weights.OFF;
+    WeightMode weights = WeightMode.OFF;
     List<Tenant> tenants = List.of();
     List<RequestClass> classes;
 
@@ -78,11 +78,11 @@
     Settings settings() {
         return new Settings(classes == null ? List.of(type("read")) : classes, tenants,
                 new Limits(cancel, probing, parallel, false, maxAttempts, 20_000, retryAfter, 500_000),
-                new Links(100_000, 5_000_000, 1), new Cpu(500_000, 0),
-                rules != null ? rules : new Rules(20_000, 250_000, mustAskIn, 0.2, 10_000_000, 3, 2_000_000),
-                new Value(new Goal(1, 0, 0, 0), new Prices(0, 0, 0, 0, 0, 0.01, 0, 0, 0, 0, 0), 0.05, false),
-                new Site(me, gateways, "z0", List.of("z0", "z1"), List.of("std"), 0, List.of("servers")),
-                new Habits(true, false, Reports.OFF, List.of(), false), mustAskIn > 0, weights, "proxy",
+                new ConnectionSettings(100_000, 5_000_000, 1), new CpuBudget(500_000, 0),
+                rules != null ? rules : new Guarantees(20_000, 250_000, mustAskIn, 0.2, 10_000_000, 3, 2_000_000),
+                new Scoring(new ScoreWeights(1, 0, 0, 0), new Penalties(0, 0, 0, 0, 0, 0.01, 0, 0, 0, 0, 0), 0.05, false),
+                new Topology(me, gateways, "z0", List.of("z0", "z1"), List.of("std"), 0, List.of("servers")),
+                new Capabilities(true, false, LoadReportMode.OFF, List.of(), false), mustAskIn > 0, weights, "proxy",
                 1_000, seed);
     }
 
@@ -92,21 +92,21 @@
         for (int i = 0; i < hosts; i++) {
             list.add(up(i, 0));
         }
-        module.hosts(now, ListForm.CACHED, list);
+        module.hostListReceived(now, ListUpdateType.CACHED, list);
         return this;
     }
 
     /** Host i: two zones in turn, two hosts of a zone to a cell. */
-    static Host host(int i, Health health, long born) {
+    static Host host(int i, HostState health, long born) {
         return new Host("h" + i, "z" + i % 2, i % 2 * 1000 + i / 4, "std", 1, health, born);
     }
 
     static Host up(int i, long born) {
-        return host(i, Health.UP, born);
+        return host(i, HostState.IN_SERVICE, born);
     }
 
-    void list(ListForm form, Host... hosts) {
-        module.hosts(now, form, List.of(hosts));
+    void list(ListUpdateType form, Host... hosts) {
+        module.hostListReceived(now, form, List.of(hosts));
     }
 
     long request(Long key) {
@@ -115,7 +115,7 @@
 
     long request(String type, String tenant, Long key, long left) {
         long id = nextId++;
-        module.request(now, new Request(id, type, tenant, key, left));
+        module.requestReceived(now, new Request(id, type, tenant, key, left));
         return id;
     }
 
@@ -133,7 +133,7 @@
     }
 
     void end(Sent send, Outcome outcome, long elapsed) {
-        module.resolved(now, send.id(), send.attempt(), send.address(), outcome, elapsed,
+        module.attemptEnded(now, send.id(), send.attempt(), send.address(), outcome, elapsed,
                 outcome == Outcome.DELIVERED, NO_REPORT);
     }
 
@@ -144,7 +144,7 @@
             Map.Entry<Long, List<String>> due = timers.pollFirstEntry();
             now = Math.max(now, due.getKey());
             for (String handle : due.getValue()) {
-                module.timer(now, handle);
+                module.timerFired(now, handle);
             }
         }
         now = until;
@@ -190,7 +190,7 @@
     }
 
     @Override
-    public void timer(long at, String handle) {
+    public void scheduleTimer(long at, String handle) {
         timers.computeIfAbsent(at, t -> new ArrayList<>()).add(handle);
     }
 
@@ -200,20 +200,20 @@
     }
 
     @Override
-    public void watch(boolean active) {
+    public void watchHostList(boolean active) {
         watches += active ? 1 : 0;
     }
 
     @Override
-    public void fetch() { }
+    public void fetchHostList() { }
 
     @Override
-    public void closeIdle(String address) {
+    public void closeIdleConnections(String address) {
         closed.add(address);
     }
 
     @Override
-    public void tell(int peer, byte[] message) { }
+    public void sendToPeer(int peer, byte[] message) { }
 
     @Override
     public void log(String line) {
--- a/src/test/java/mastdrift/KindSizeTest.java
+++ b/src/test/java/mastdrift/KindSizeTest.java
@@ -3,9 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import mastdrift.Balancer.Health;
+import mastdrift.Balancer.HostState;
 import mastdrift.Balancer.Host;
-import mastdrift.Balancer.ListForm;
+import mastdrift.Balancer.ListUpdateType;
 import mastdrift.Balancer.LoadReport;
 import mastdrift.Balancer.Outcome;
 import org.junit.jupiter.api.Test;
@@ -17,7 +17,7 @@
     @Test
     void kindsThatReportMoreUseOfCoresGetLess() {
         Gateway gateway = new Gateway().start(0);
-        gateway.list(ListForm.FULL, host(0, "small"), host(1, "large"), host(2, "small"), host(3, "large"));
+        gateway.list(ListUpdateType.FULL, host(0, "small"), host(1, "large"), host(2, "small"), host(3, "large"));
         long small = toSmall(gateway, true);
         assertTrue(small < 300, "to the small ones " + small + " of 1000");
     }
@@ -27,9 +27,9 @@
     @Test
     void anOldReportDoesNotTurnSizesFurther() {
         Gateway gateway = new Gateway().start(0);
-        gateway.list(ListForm.FULL, host(0, "small"), host(1, "large"), host(2, "small"), host(3, "large"));
+        gateway.list(ListUpdateType.FULL, host(0, "small"), host(1, "large"), host(2, "small"), host(3, "large"));
         for (int i = 0; i < 4; i++) {
-            gateway.module.probed(gateway.now, "h" + i, Outcome.DELIVERED, 1_000, cpu(i % 2 == 0 ? 0.8 : 0.4));
+            gateway.module.probeEnded(gateway.now, "h" + i, Outcome.DELIVERED, 1_000, cpu(i % 2 == 0 ? 0.8 : 0.4));
         }
         long small = toSmall(gateway, false);
         assertTrue(small > 300, "to the small ones " + small + " of 1000");
@@ -44,7 +44,7 @@
             gateway.advance(10_000);
             Gateway.Sent send = gateway.last();
             double busy = List.of("h0", "h2").contains(send.address()) ? 0.8 : 0.4;
-            gateway.module.resolved(gateway.now, send.id(), send.attempt(), send.address(), Outcome.DELIVERED, 10_000,
+            gateway.module.attemptEnded(gateway.now, send.id(), send.attempt(), send.address(), Outcome.DELIVERED, 10_000,
                     true, cpu(reported ? busy : Double.NaN));
         }
         return gateway.sent.stream().skip(before).filter(s -> List.of("h0", "h2").contains(s.address())).count();
@@ -55,6 +55,6 @@
     }
 
     private static Host host(int i, String kind) {
-        return new Host("h" + i, "z0", 0, kind, 1, Health.UP, 0);
+        return new Host("h" + i, "z0", 0, kind, 1, HostState.IN_SERVICE, 0);
     }
 }
--- a/src/test/java/mastdrift/ModuleModelTest.java
+++ b/src/test/java/mastdrift/ModuleModelTest.java
@@ -8,12 +8,12 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import mastdrift.Balancer.Group;
-import mastdrift.Balancer.Health;
+import mastdrift.Balancer.DedupScope;
+import mastdrift.Balancer.HostState;
 import mastdrift.Balancer.Host;
-import mastdrift.Balancer.ListForm;
+import mastdrift.Balancer.ListUpdateType;
 import mastdrift.Balancer.Outcome;
-import mastdrift.Balancer.Repeat;
+import mastdrift.Balancer.Idempotency;
 import mastdrift.Balancer.RequestClass;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -38,14 +38,14 @@
     private enum Lie { NONE, ERRORS_NEVER_RAN, DRAINS_UNTOLD, EXPIRIES_UNTOLD, SERVED_TWICE }
 
     private static final class Told {
-        private final Repeat repeat;
+        private final Idempotency repeat;
         private final List<Gateway.Sent> sends = new ArrayList<>();
         private final Map<Gateway.Sent, Outcome> ended = new LinkedHashMap<>();
         private int answers;
         private boolean departed;
         private final long ends;
 
-        Told(Repeat repeat, long ends) {
+        Told(Idempotency repeat, long ends) {
             this.repeat = repeat;
             this.ends = ends;
         }
@@ -66,12 +66,12 @@
 
         Case(Lie lie) {
             this.lie = lie;
-            gateway.classes = List.of(type("safe", Repeat.SAFE), type("keyed", Repeat.KEYED), type("unsafe", Repeat.UNSAFE));
+            gateway.classes = List.of(type("safe", Idempotency.SAFE), type("keyed", Idempotency.KEYED), type("unsafe", Idempotency.UNSAFE));
             gateway.start(3);
         }
 
-        private static RequestClass type(String name, Repeat repeat) {
-            return new RequestClass(name, 300_000, 0, LEFT, 1, 0.2, repeat, Group.ZONE, WINDOW, false);
+        private static RequestClass type(String name, Idempotency repeat) {
+            return new RequestClass(name, 300_000, 0, LEFT, 1, 0.2, repeat, DedupScope.ZONE, WINDOW, false);
         }
 
         private void fault(String what) {
@@ -86,7 +86,7 @@
                         return false;
                     }
                     // Before the module hears: it acts within the call. Ids of the harness count from 1.
-                    requests.put(requests.size() + 1L, new Told(Repeat.values()[event.ordinal()], gateway.now + LEFT));
+                    requests.put(requests.size() + 1L, new Told(Idempotency.values()[event.ordinal()], gateway.now + LEFT));
                     gateway.request(event.name().toLowerCase(java.util.Locale.ROOT), null, 7L, LEFT);
                 }
                 case DEPARTS -> {
@@ -96,15 +96,15 @@
                         return false;
                     }
                     requests.get(open).departed = true;
-                    gateway.module.departed(gateway.now, open);
+                    gateway.module.clientLeft(gateway.now, open);
                 }
-                case LEAVES -> list(Health.LEAVING);
-                case GOES -> list(Health.GONE);
+                case LEAVES -> list(HostState.TERMINATING);
+                case GOES -> list(HostState.TERMINATED);
                 case RETURNS -> {
                     if (drained.isEmpty()) {
                         return false;
                     }
-                    list(Health.UP);
+                    list(HostState.IN_SERVICE);
                 }
                 case A_MOMENT -> gateway.advance(GRACE + 1000);
                 case A_REFRESH -> gateway.advance(600_000);
@@ -120,15 +120,15 @@
             return true;
         }
 
-        private void list(Health health) {
+        private void list(HostState health) {
             Host host = Gateway.host(0, health, 0);
-            if (health == Health.UP) {
+            if (health == HostState.IN_SERVICE) {
                 drained.clear();
             } else {
                 drained.putIfAbsent(host.address(), gateway.now);
             }
-            if (lie != Lie.DRAINS_UNTOLD || health == Health.UP) {
-                gateway.list(ListForm.DELTA, host);
+            if (lie != Lie.DRAINS_UNTOLD || health == HostState.IN_SERVICE) {
+                gateway.list(ListUpdateType.DELTA, host);
             }
         }
 
@@ -143,7 +143,7 @@
             }
             Outcome heard = lie == Lie.ERRORS_NEVER_RAN && outcome == Outcome.ERROR ? Outcome.SHED : outcome;
             boolean over = (told.answers > 0 || told.departed) && lie != Lie.SERVED_TWICE;
-            gateway.module.resolved(gateway.now, send.id(), send.attempt(), send.address(),
+            gateway.module.attemptEnded(gateway.now, send.id(), send.attempt(), send.address(),
                     lie == Lie.SERVED_TWICE && outcome == Outcome.DELIVERED ? Outcome.SHED : heard, gateway.now - send.at(), over,
                     Gateway.NO_REPORT);
         }
@@ -167,7 +167,7 @@
             }
             for (; refused < gateway.refused.size(); refused++) {
                 Told told = requests.get(Long.parseLong(gateway.refused.get(refused)));
-                if (told.repeat != Repeat.SAFE && told.sends.stream().anyMatch(send -> mayHaveRun(told, send))) {
+                if (told.repeat != Idempotency.SAFE && told.sends.stream().anyMatch(send -> mayHaveRun(told, send))) {
                     fault("refused though it may have run");
                 }
                 answer(told);
@@ -201,10 +201,10 @@
                 fault("sent past a drain");
             }
             for (Gateway.Sent earlier : told.sends) {
-                if (told.repeat == Repeat.SAFE || !mayHaveRun(told, earlier)) {
+                if (told.repeat == Idempotency.SAFE || !mayHaveRun(told, earlier)) {
                     continue;
                 }
-                if (told.repeat == Repeat.UNSAFE) {
+                if (told.repeat == Idempotency.UNSAFE) {
                     fault("an unsafe request sent again");
                 } else if (send.at() - earlier.at() >= WINDOW || !zone(earlier).equals(zone(send))) {
                     fault("a keyed request sent again outside its zone or window");
--- a/src/test/java/mastdrift/RulesTest.java
+++ b/src/test/java/mastdrift/RulesTest.java
@@ -4,12 +4,12 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import mastdrift.Balancer.Group;
-import mastdrift.Balancer.Health;
+import mastdrift.Balancer.DedupScope;
+import mastdrift.Balancer.HostState;
 import mastdrift.Balancer.Host;
-import mastdrift.Balancer.ListForm;
+import mastdrift.Balancer.ListUpdateType;
 import mastdrift.Balancer.Outcome;
-import mastdrift.Balancer.Repeat;
+import mastdrift.Balancer.Idempotency;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
@@ -26,7 +26,7 @@
     private static final List<Outcome> FAILURES = List.of(Outcome.ERROR, Outcome.SHED, Outcome.EXPIRED,
             Outcome.DIAL_FAILED, Outcome.DROPPED, Outcome.REVOKED, Outcome.UNUSED);
 
-    private static Gateway gateway(Repeat repeat, Group group) {
+    private static Gateway gateway(Idempotency repeat, DedupScope group) {
         Gateway gateway = new Gateway();
         gateway.repeat = repeat;
         gateway.group = group;
@@ -36,7 +36,7 @@
     @ParameterizedTest
     @EnumSource(value = Outcome.class, names = "DELIVERED", mode = EnumSource.Mode.EXCLUDE)
     void anUnsafeRequestIsSentAgainOrRefusedOnlyIfItNeverRan(Outcome outcome) {
-        Gateway gateway = gateway(Repeat.UNSAFE, Group.ALL);
+        Gateway gateway = gateway(Idempotency.UNSAFE, DedupScope.ALL);
         long id = gateway.request(5L);
         gateway.end(gateway.last(), outcome);
         if (outcome.neverRan()) {
@@ -48,17 +48,17 @@
     }
 
     @ParameterizedTest
-    @EnumSource(Group.class)
-    void aKeyedRequestThatMayHaveRunStaysInItsGroup(Group group) {
+    @EnumSource(DedupScope.class)
+    void aKeyedRequestThatMayHaveRunStaysInItsGroup(DedupScope group) {
         for (long key = 0; key < 60; key++) {
-            Gateway gateway = gateway(Repeat.KEYED, group);
+            Gateway gateway = gateway(Idempotency.KEYED, group);
             long id = gateway.request(key);
             gateway.end(gateway.last(), Outcome.DROPPED);
             List<Gateway.Sent> sends = gateway.sends(id);
             if (sends.size() == 2) {
                 assertTrue(sameGroup(group, sends.get(0).address(), sends.get(1).address()));
             } else {
-                assertEquals(group == Group.ALL ? 0 : 1, gateway.failed.size());
+                assertEquals(group == DedupScope.ALL ? 0 : 1, gateway.failed.size());
             }
         }
     }
@@ -67,7 +67,7 @@
     void theDedupWindowEndsKeyedRepeats() {
         for (long late : new long[] {-1_000, 0}) {
             Gateway gateway = new Gateway();
-            gateway.repeat = Repeat.KEYED;
+            gateway.repeat = Idempotency.KEYED;
             gateway.window = 300_000;
             gateway.start(16);
             long id = gateway.request(3L);
@@ -80,14 +80,14 @@
     /** Guards against what is decided in time and written too late: a connection that comes up late. */
     @Test
     void whatBoundsASendHoldsAtTheWriteToo() {
-        Gateway first = gateway(Repeat.UNSAFE, Group.ALL);
+        Gateway first = gateway(Idempotency.UNSAFE, DedupScope.ALL);
         long id = first.request(5L);
         first.now += first.last().timeout() - 1;
         assertTrue(first.module.mayWrite(first.now, id, 0));
         first.now += 1;
         assertFalse(first.module.mayWrite(first.now, id, 0));  // its time is over
 
-        Gateway again = gateway(Repeat.KEYED, Group.ALL);
+        Gateway again = gateway(Idempotency.KEYED, DedupScope.ALL);
         id = again.request("read", null, 5L, 3_000_000);
         again.advance(1_000);
         again.end(again.last(), Outcome.DROPPED);
@@ -98,21 +98,21 @@
         again.now += 1;
         assertFalse(again.module.mayWrite(again.now, id, 1));  // its window is over
 
-        Gateway left = gateway(Repeat.SAFE, Group.ALL);
+        Gateway left = gateway(Idempotency.SAFE, DedupScope.ALL);
         id = left.request(5L);
         assertTrue(left.module.mayWrite(left.now, id, 0));
         int host = Integer.parseInt(left.last().address().substring(1));
-        left.list(ListForm.DELTA, Gateway.host(host, Health.LEAVING, 0));
+        left.list(ListUpdateType.DELTA, Gateway.host(host, HostState.TERMINATING, 0));
         assertFalse(left.module.mayWrite(left.now, id, 0));  // its host is drained
-        left.list(ListForm.DELTA, Gateway.up(host, left.now));
+        left.list(ListUpdateType.DELTA, Gateway.up(host, left.now));
         assertFalse(left.module.mayWrite(left.now, id, 0));  // or has started anew
-        left.module.departed(left.now, id);
+        left.module.clientLeft(left.now, id);
         assertFalse(left.module.mayWrite(left.now, id, 0));
     }
 
     @Test
     void theTimeOutEndsWithTheTryAndIsAnsweredAtOnce() {
-        Gateway gateway = gateway(Repeat.SAFE, Group.ALL);
+        Gateway gateway = gateway(Idempotency.SAFE, DedupScope.ALL);
         long id = gateway.request("read", null, 1L, 400_000);
         assertEquals(400_000, gateway.last().timeout());
         gateway.advance(400_000);
@@ -123,21 +123,21 @@
 
     @Test
     void aDrainingGoneOrReplacedHostGetsNothingNew() {
-        Gateway gateway = gateway(Repeat.SAFE, Group.ALL);
+        Gateway gateway = gateway(Idempotency.SAFE, DedupScope.ALL);
         for (long key = 0; key < 50; key++) {
             gateway.request(key);
             gateway.end(gateway.last(), Outcome.DELIVERED);
         }
-        gateway.list(ListForm.DELTA, Gateway.host(1, Health.LEAVING, 0), Gateway.host(2, Health.GONE, 0));
+        gateway.list(ListUpdateType.DELTA, Gateway.host(1, HostState.TERMINATING, 0), Gateway.host(2, HostState.TERMINATED, 0));
         Host[] rest = new Host[13];
         for (int i = 0; i < rest.length; i++) {
-            rest[i] = i == 1 ? Gateway.host(1, Health.LEAVING, 0) : Gateway.up(i + (i >= 2 ? 1 : 0), 0);
+            rest[i] = i == 1 ? Gateway.host(1, HostState.TERMINATING, 0) : Gateway.up(i + (i >= 2 ? 1 : 0), 0);
         }
         int before = gateway.sent.size();
         for (long key = 0; key < 50; key++) {
             gateway.request(key);
         }
-        gateway.list(ListForm.FULL, rest);
+        gateway.list(ListUpdateType.FULL, rest);
         for (long key = 0; key < 50; key++) {
             gateway.request(key);
         }
@@ -147,11 +147,11 @@
         assertFalse(afterFull.contains("h14") && !afterFull.contains("h15"));
     }
 
-    private static boolean sameGroup(Group group, String one, String other) {
+    private static boolean sameGroup(DedupScope group, String one, String other) {
         Host a = Gateway.up(Integer.parseInt(one.substring(1)), 0);
         Host b = Gateway.up(Integer.parseInt(other.substring(1)), 0);
-        return group == Group.ALL || group == Group.ZONE && a.zone().equals(b.zone())
-                || group == Group.CELL && a.cell() == b.cell();
+        return group == DedupScope.ALL || group == DedupScope.ZONE && a.zone().equals(b.zone())
+                || group == DedupScope.CELL && a.cell() == b.cell();
     }
 
     /** Long random legal sequences, checked after each event by an account of their own. */
@@ -188,8 +188,8 @@
 
         Sequence(int seed) {
             random = new Random(seed);
-            gateway.repeat = Repeat.values()[seed % 3];
-            gateway.group = Group.values()[seed / 3 % 3];
+            gateway.repeat = Idempotency.values()[seed % 3];
+            gateway.group = DedupScope.values()[seed / 3 % 3];
             gateway.parallel = seed % 2 == 0;
             gateway.cancel = seed % 4 < 2;
             gateway.maxAttempts = 1 + seed % 4;
@@ -212,9 +212,9 @@
                 gateway.advance(random.nextInt(100_000));
             } else {
                 int i = random.nextInt(8);
-                Health health = random.nextInt(3) == 0 ? Health.LEAVING : Health.UP;
-                gateway.list(ListForm.DELTA, Gateway.host(i, health, health == Health.UP ? gateway.now : 0));
-                if (health == Health.UP) {
+                HostState health = random.nextInt(3) == 0 ? HostState.TERMINATING : HostState.IN_SERVICE;
+                gateway.list(ListUpdateType.DELTA, Gateway.host(i, health, health == HostState.IN_SERVICE ? gateway.now : 0));
+                if (health == HostState.IN_SERVICE) {
                     shut.remove("h" + i);
                 } else {
                     shut.add("h" + i);
@@ -236,7 +236,7 @@
             if (outcome == Outcome.DELIVERED) {
                 finished.add(send.id());
             }
-            gateway.module.resolved(gateway.now, send.id(), send.attempt(), send.address(), outcome,
+            gateway.module.attemptEnded(gateway.now, send.id(), send.attempt(), send.address(), outcome,
                     gateway.now - send.at(), over || outcome == Outcome.DELIVERED, Gateway.NO_REPORT);
         }
 
@@ -260,17 +260,17 @@
             for (Gateway.Sent before : gateway.sends(send.id()).subList(0, send.attempt())) {
                 Outcome outcome = ended.getOrDefault(send.id(), Map.of()).get(before.attempt());
                 assertTrue(outcome != null || gateway.parallel, "two at once");
-                if (outcome != null && outcome.neverRan() || gateway.repeat == Repeat.SAFE) {
+                if (outcome != null && outcome.neverRan() || gateway.repeat == Idempotency.SAFE) {
                     continue;
                 }
-                assertTrue(gateway.repeat == Repeat.KEYED && send.at() - before.at() < gateway.window
+                assertTrue(gateway.repeat == Idempotency.KEYED && send.at() - before.at() < gateway.window
                         && sameGroup(gateway.group, before.address(), send.address()), "unsafe repeat");
             }
         }
 
         private void checkRefusal(long id) {
-            boolean harmless = gateway.repeat == Repeat.SAFE
-                    || gateway.repeat == Repeat.KEYED && gateway.group == Group.ALL
+            boolean harmless = gateway.repeat == Idempotency.SAFE
+                    || gateway.repeat == Idempotency.KEYED && gateway.group == DedupScope.ALL
                     || ended.getOrDefault(id, Map.of()).values().stream().allMatch(Outcome::neverRan);
             assertTrue(harmless, "refused though it may have run");
         }
--- a/src/test/java/mastdrift/SilentServerTest.java
+++ b/src/test/java/mastdrift/SilentServerTest.java
@@ -61,14 +61,14 @@
         int before = gateway.sent.size();
         for (int i = 0; i < 80; i++) {
             long id = gateway.request("read", null, 5_000_000L + i, 600_000);
-            gateway.module.streaming(gateway.now, id, 0);
+            gateway.module.streamingStarted(gateway.now, id, 0);
             gateway.advance(50_000);
         }
         List<Gateway.Sent> streams = List.copyOf(gateway.sent.subList(before, gateway.sent.size()));
         gateway.serve(100, 5_000, 5_000);
         assertEquals(80, streams.size());
         assertEquals(List.of(), gateway.refused);
-        assertEquals(0, gateway.module.excluded(gateway.now));
+        assertEquals(0, gateway.module.excludedHostCount(gateway.now));
         for (Gateway.Sent stream : streams) {
             gateway.end(stream, Outcome.DELIVERED, 5_000);
         }
@@ -82,7 +82,7 @@
     void aStreamThatFailsIsNotSentAgain() {
         Gateway gateway = new Gateway().start(4);
         long id = gateway.request(7L);
-        gateway.module.streaming(gateway.now, id, 0);
+        gateway.module.streamingStarted(gateway.now, id, 0);
         gateway.end(gateway.last(), Outcome.DROPPED);
         assertEquals(1, gateway.sends(id).size());
         assertTrue(gateway.answered(id));
--- a/src/test/java/mastdrift/SizeTest.java
+++ b/src/test/java/mastdrift/SizeTest.java
@@ -12,7 +12,7 @@
 
     @Test
     void moduleStaysReviewable() throws IOException {
-        List<String> lines = Files.readAllLines(Path.of("src/main/java/mastdrift/Balance.java"));
+        List<String> lines = Files.readAllLines(Path.of("src/main/java/mastdrift/HeadroomBalancer.java"));
         assertTrue(lines.stream().filter(l -> !l.isBlank()).count() <= 1_200);
         assertTrue(lines.stream().allMatch(l -> l.length() <= 110));
     }
--- a/src/test/java/mastdrift/net/GatewayTest.java
+++ b/src/test/java/mastdrift/net/GatewayTest.java
@@ -88,7 +88,7 @@
                     events.add(method.getName());
                     if (method.getName().equals("start")) {
                         actions = (Balancer.Actions) arguments[2];
-                    } else if (method.getName().equals("request")) {
+                    } else if (method.getName().equals("requestReceived")) {
                         onRequest.accept(actions, ((Balancer.Request) arguments[1]).id());
                         events.add("end of request");
                     }
@@ -116,7 +116,7 @@
             asked.send(id + 1, "unheard", 1);
         });
         assertEquals("failed", Loopback.await(answers));
-        assertEquals(List.of("start", "hosts", "request", "departed"), awaitEvents(4));
+        assertEquals(List.of("start", "hostListReceived", "requestReceived", "clientLeft"), awaitEvents(4));
         assertTrue(log.toString(StandardCharsets.UTF_8).contains("fault"));
     }
 
@@ -125,7 +125,7 @@
     void aRequestThatTheModuleForgetsIsFailedInTime() throws Exception {
         take(50_000, (asked, id) -> { });
         assertEquals("late", Loopback.await(answers));
-        assertEquals(List.of("start", "hosts", "request", "end of request", "departed"), awaitEvents(5));
+        assertEquals(List.of("start", "hostListReceived", "requestReceived", "end of request", "clientLeft"), awaitEvents(5));
     }
 
     @Test
@@ -148,7 +148,7 @@
             asked.send(id, "unknown", 1_000_000);
             asked.send(id, "unknown", 1_000_000);
         });
-        assertEquals(List.of("start", "hosts", "request", "end of request", "resolved", "resolved"), awaitEvents(6));
+        assertEquals(List.of("start", "hostListReceived", "requestReceived", "end of request", "attemptEnded", "attemptEnded"), awaitEvents(6));
     }
 
     /** Guards against an attempt for who left while the loop was held up, or ahead of whose end a host's event was met. */
@@ -162,7 +162,7 @@
             }
             asked.send(id, "unknown", 1_000_000);
         });
-        assertEquals(List.of("start", "hosts", "request", "end of request", "departed", "resolved"), awaitEvents(6));
+        assertEquals(List.of("start", "hostListReceived", "requestReceived", "end of request", "clientLeft", "attemptEnded"), awaitEvents(6));
         assertEquals(1, looks);
         assertNull(answers.peek());
     }
--- a/src/test/java/mastdrift/wire/PassingOnTest.java
+++ b/src/test/java/mastdrift/wire/PassingOnTest.java
@@ -47,34 +47,34 @@
     void everySettingIsRead() {
         Balancer.Settings s = settings(LEAST + MORE);
         assertEquals(new Balancer.Limits(true, false, true, true, 3, 11, true, 9), s.limits());
-        assertEquals(new Balancer.Links(8, 12, 13), s.links());
-        assertEquals(new Balancer.Cpu(14, 1.5), s.cpu());
-        assertEquals(new Balancer.Rules(16, 17, 0, 0.2, 7, 3.5, 6), s.rules());
-        assertEquals(18, settings((LEAST + MORE).replace("=pushed", "=on_request")).rules().mustAskIn());
-        assertEquals(new Balancer.Site(2, 4, "a", List.of("a", "b"), List.of("k", "l"), 1, List.of("s", "t")),
-                s.site());
-        assertEquals(new Balancer.Value(new Balancer.Goal(0.4, 0.3, 0.2, 0.1),
-                new Balancer.Prices(0.01, 0.02, 0.03, 0.04, 0.05, 0.06, 0.07, 0.08, 0.09, 0.11, 0.12), 0.05, true),
-                s.value());
-        assertEquals(new Balancer.Habits(true, true, Balancer.Reports.ON_PROBE, List.of("cpu", "waiting"), true),
-                s.habits());
-        assertEquals(List.of(new Balancer.RequestClass("r", 1, 2.5, 2, 3, 0.25, Balancer.Repeat.KEYED,
-                Balancer.Group.CELL, 5, true)), s.classes());
+        assertEquals(new Balancer.ConnectionSettings(8, 12, 13), s.connections());
+        assertEquals(new Balancer.CpuBudget(14, 1.5), s.cpu());
+        assertEquals(new Balancer.Guarantees(16, 17, 0, 0.2, 7, 3.5, 6), s.guarantees());
+        assertEquals(18, settings((LEAST + MORE).replace("=pushed", "=on_request")).guarantees().listRequestDeadline());
+        assertEquals(new Balancer.Topology(2, 4, "a", List.of("a", "b"), List.of("k", "l"), 1, List.of("s", "t")),
+                s.topology());
+        assertEquals(new Balancer.Scoring(new Balancer.ScoreWeights(0.4, 0.3, 0.2, 0.1),
+                new Balancer.Penalties(0.01, 0.02, 0.03, 0.04, 0.05, 0.06, 0.07, 0.08, 0.09, 0.11, 0.12), 0.05, true),
+                s.scoring());
+        assertEquals(new Balancer.Capabilities(true, true, Balancer.LoadReportMode.ON_PROBE, List.of("cpu", "waiting"), true),
+                s.capabilities());
+        assertEquals(List.of(new Balancer.RequestClass("r", 1, 2.5, 2, 3, 0.25, Balancer.Idempotency.KEYED,
+                Balancer.DedupScope.CELL, 5, true)), s.classes());
         assertEquals(List.of(new Balancer.Tenant("x", 0.6, 7.5)), s.tenants());
-        assertEquals("proxy", s.service());
-        assertEquals(19, s.resolution());
+        assertEquals("proxy", s.serviceType());
+        assertEquals(19, s.clockResolution());
     }
 
     @Test
     void whatMayBeAbsentGetsADefaultThatChangesNothing() {
         Balancer.Settings s = settings(LEAST);
-        assertEquals(new Balancer.Goal(1, 0, 0, 0), s.value().goal());
-        assertEquals(0, s.value().prices().probe());
-        assertEquals(1, s.value().overShareWorth());
-        assertEquals(Balancer.Reports.OFF, s.habits().reports());
-        assertFalse(s.habits().warmKeys() || s.limits().peers() || s.classes().get(0).stream());
-        assertEquals(Long.MAX_VALUE, s.links().idle());
-        assertTrue(s.tenants().isEmpty() && s.site().zones().isEmpty());
+        assertEquals(new Balancer.ScoreWeights(1, 0, 0, 0), s.scoring().weights());
+        assertEquals(0, s.scoring().penalties().probe());
+        assertEquals(1, s.scoring().overQuotaValueFraction());
+        assertEquals(Balancer.LoadReportMode.OFF, s.capabilities().loadReportMode());
+        assertFalse(s.capabilities().hostsCacheKeys() || s.limits().mayMessagePeers() || s.classes().get(0).streaming());
+        assertEquals(Long.MAX_VALUE, s.connections().idleTimeout());
+        assertTrue(s.tenants().isEmpty() && s.topology().zones().isEmpty());
     }
 
     @ParameterizedTest
@@ -96,45 +96,45 @@
         }
 
         @Override
-        public void hosts(long now, ListForm form, List<Host> hosts) { }
+        public void hostListReceived(long now, ListUpdateType form, List<Host> hosts) { }
 
         @Override
-        public void request(long now, Request request) {
+        public void requestReceived(long now, Request request) {
             told.add(request);
-            actions.watch(true);
-            actions.watch(false);
-            actions.fetch();
-            actions.closeIdle("h:1");
-            actions.tell(3, new byte[] {1, (byte) 0xab});
-            actions.tell(-1, new byte[0]);
+            actions.watchHostList(true);
+            actions.watchHostList(false);
+            actions.fetchHostList();
+            actions.closeIdleConnections("h:1");
+            actions.sendToPeer(3, new byte[] {1, (byte) 0xab});
+            actions.sendToPeer(-1, new byte[0]);
             actions.log("two\nlines");
         }
 
         @Override
-        public void streaming(long now, long id, int attempt) { }
+        public void streamingStarted(long now, long id, int attempt) { }
 
         @Override
-        public void resolved(long now, long id, int attempt, String address, Outcome outcome, long elapsed,
+        public void attemptEnded(long now, long id, int attempt, String address, Outcome outcome, long elapsed,
                 boolean over, LoadReport report) { }
 
         @Override
-        public void departed(long now, long id) { }
+        public void clientLeft(long now, long id) { }
 
         @Override
-        public void probed(long now, String address, Outcome outcome, long elapsed, LoadReport report) { }
+        public void probeEnded(long now, String address, Outcome outcome, long elapsed, LoadReport report) { }
 
         @Override
-        public int excluded(long now) {
+        public int excludedHostCount(long now) {
             return 0;
         }
 
         @Override
-        public void told(long now, int peer, byte[] message) {
+        public void peerMessageReceived(long now, int peer, byte[] message) {
             told.add(List.of(peer, (int) message[0], message.length));
         }
 
         @Override
-        public void timer(long now, String handle) { }
+        public void timerFired(long now, String handle) { }
     }
 
     @Test
