--- a/src/main/java/mastdrift/HeadroomBalancer.java
+++ b/src/main/java/mastdrift/HeadroomBalancer.java
@@ -17,72 +17,143 @@
 import mastdrift.BalancerState.Session;
 
 /**
- * Headroom split: every decision of one gateway. Its interface, types and units are in Balancer.java;
- * docs/design.md says what follows Bartolini et al. and where and when this departs from it.
+ * Splits one gateway's requests over the servers by their headroom: how far a server's estimated p95 latency
+ * stays below an adaptive threshold. Also decides on admission, retries, probes and host list requests.
+ * {@link Balancer} has the contract and the units. docs/design.md tells what follows the published method
+ * (Bartolini et al.) and what departs from it and why.
+ *
+ * <p>Latencies of different classes are compared as multiples of the class's typical latency: response times,
+ * the threshold (theta) and the samples are such multiples. The servers whose response time is at most theta
+ * are the eligible set (S*).
  */
 public final class HeadroomBalancer implements Balancer {
 
-    // Spans in microseconds.
-    private static final long REFRESH = 500_000;        // T_obs: troubles last seconds, so must the shares
-    private static final long WINDOW = 10_000_000;      // T: samples older than most troubles mislead
-    private static final long KEY_MEMORY = 30_000_000;  // a key unseen for this long is a new session
-    private static final long REPORT_FRESH = 1_000_000; // a queue reported earlier than this says nothing
-    private static final long LIST_FRESH = 3_000_000;   // nor do the loads in a list that came earlier
-    private static final long DOWN_AFTER = 1_000_000;   // no answer for this long makes a refusal a sign
-    private static final int SILENT = 3;                // attempts with no answer for so long: it is silent
-    private static final long BACKOFF_MOST = 2_000_000; // and a call of 4 s: news is told within 6 s
-    private static final long BACKOFF_LEAST = 25_000;   // no rule leaves so little time that calls may spin
-    private static final long SUSPECT_SPAN = 6_000_000; // by then the registry has told of a restart
-    // Counts and ratios.
-    private static final int SAMPLES = 32;              // kept a server: enough for a 95th percentile
-    private static final double PRIOR = 60;             // samples that hold three above a 95th percentile
-    private static final double FAILING = 0.05;         // failures beyond a twentieth: p95 is unbounded
-    private static final double FAR = 2;                // times the fleet's failures: a failure of its own
-    private static final double UNBOUNDED = 1e6;        // in usual latencies: beyond any real one
-    private static final double LOWEST = 0.1;           // quantile that stands for r~: no one server decides
-    private static final double RISE = 0.1;             // share regained a refresh: a way back, no flood
-    private static final double T_AC = 1.0;             // lateness at which refusals begin
-    private static final double T_FULL = 1.6;           // lateness at which every new session is refused
-    private static final long SERVED_SPAN = 2_000_000;  // admission looks at what was served just now
-    private static final long SERVED_MOST = 8_000_000;  // or, where requests are few, in up to this time
-    private static final int SERVED = 256;              // served latencies kept for admission
-    private static final double LOST = 2;               // lateness of what came to nothing
-    private static final double SERVED_FEW = 20;        // fewer than this carry no 95th percentile
-    private static final double SERVED_LEAST = 8;       // but a quiet gateway can't wait for so many
-    private static final double MANY = 0.2;             // of the servers known full: no few bad ones
-    private static final double QUEUE_AC = 0.15;        // of the tightest aim: such a queue starts refusals
-    private static final double QUEUE_FULL = 0.5;       // of the tightest aim: little more would be in time
-    private static final double OVER = 10;              // times the pressure: refusals beyond a share
-    private static final double FIRST = 0.5;            // pressure below which refusals are beyond shares
-    private static final double BURST = 6;              // requests a tenant may save up at any size
-    private static final int LEAST_OF = 4;              // answers whose shortest shows the queue
-    private static final double BOUND = 1.25;           // of the mean burden: what one server may hold
-    private static final double CROWD = 1.25;           // of its part of what was sent lately: likewise
-    private static final double STICKY = 1.3;           // a warm key saves work, so it gets more
-    private static final double HISTORY = 4;            // sends a server that count as lately
-    private static final int CANDIDATES = 6;            // draws within S* before the least burdened is taken
-    private static final int PLACES = 4096;             // of the table: enough for even parts of 500 servers
-    private static final int DRAWS = 64;                // draws in all, a bound on the work a request costs
-    private static final double RETRY_SHARE = 0.1;      // retry budget: of the requests that came in
-    private static final double PROBE_SHARE = 0.02;     // probe budget: likewise
-    private static final double BUDGET_MOST = 20;       // what an unused budget may save up
-    private static final int KEYS_MOST = 50_000;        // remembered keys, a bound on memory
-    private static final double CREDIT = 0.8;           // part of that for cold hosts: their keys cost more
-    private static final double IDLE_MORE = 1.25;       // times its part, a list that tells a cold host idle
-    private static final double BUSY_LESS = 0.64;       // likewise where it tells it busy: two steps back
-    private static final double EWMA = 0.2;             // weight of the newest refresh in send rates
-    private static final double USUAL = 0.01;           // weight of one sample in a class's usual latency
-    private static final double IDLE_KEEP = 0.9;        // of what idle connections told before
-    private static final double USUAL_CPU = 0.1;        // weight of one report in its kind's use of cores
-    private static final double AWAY = 0.3;             // of a share, in another zone
-    private static final double EVEN = 0.2;             // part of the way to even use that a refresh goes
-    private static final double UNEVEN = 8;             // kinds differ by no more than this
-    private static final int LOG_EVERY = 10;            // refreshes to a line on what was turned away
+    // Time spans and timers.
+    /** T_obs: interval at which shares are computed anew; shorter than the troubles that they answer. */
+    private static final long REFRESH = 500_000;
+    /** T: age up to which a sample counts; older ones would outlast most troubles. */
+    private static final long WINDOW = 10_000_000;
+    /** A key that was not seen for this long starts a new session. */
+    private static final long KEY_MEMORY = 30_000_000;
+    /** Age beyond which a reported queue length says nothing about the present. */
+    private static final long REPORT_FRESH = 1_000_000;
+    /** Likewise for the loads that a host list carries. */
+    private static final long LIST_FRESH = 3_000_000;
+    /** Time without any answer after which a failed dial, or silence, means that a server is down. */
+    private static final long DOWN_AFTER = 1_000_000;
+    /** Attempts in a row without an answer that make a server silent after that time. */
+    private static final int SILENT = 3;
+    /** Longest wait before the next list request: with a request of 4 s, news is known within 6 s. */
+    private static final long BACKOFF_MOST = 2_000_000;
+    /** Shortest wait before the next list request, so that failing requests never spin. */
+    private static final long BACKOFF_LEAST = 25_000;
+    /** How long a server that was down counts as possibly restarted: by then the registry reports it. */
+    private static final long SUSPECT_SPAN = 6_000_000;
+
+    // Response time estimate and threshold. Latencies are multiples of the class's typical latency.
+    /** Latency samples kept for each server, enough for a 95th percentile. */
+    private static final int SAMPLES = 32;
+    /** Weight of the model's percentile in samples: three of 60 lie above a 95th percentile. */
+    private static final double PRIOR = 60;
+    /** Above this fraction of failures the 95th percentile itself is a failure, so unbounded. */
+    private static final double FAILING = 0.05;
+    /** A rate counts as an outlier above this multiple of the rate that it is compared with. */
+    private static final double FAR = 2;
+    /** Stands for an infinite response time; beyond any real one. */
+    private static final double UNBOUNDED = 1e6;
+    /** Quantile of response times that stands for r~, so that no single server decides. */
+    private static final double LOWEST = 0.1;
+    /** Share that a server may regain in one refresh, so that it comes back without a flood. */
+    private static final double RISE = 0.1;
+
+    // Admission. Lateness is 1 at the latency target and 2 at the deadline.
+    /** T_AC: lateness at which refusals begin. */
+    private static final double T_AC = 1.0;
+    /** Lateness at which every request with a new key is refused. */
+    private static final double T_FULL = 1.6;
+    /** Admission looks at requests that ended within this time... */
+    private static final long SERVED_SPAN = 2_000_000;
+    /** ...or, where there are too few of them, within this time. */
+    private static final long SERVED_MOST = 8_000_000;
+    /** Lateness samples kept for admission. */
+    private static final int SERVED = 256;
+    /** Lateness that a failed attempt counts with. */
+    private static final double LOST = 2;
+    /** Fewer samples than this carry no 95th percentile. */
+    private static final double SERVED_FEW = 20;
+    /** Fewest samples that do at a gateway with little traffic, which can't wait for more. */
+    private static final double SERVED_LEAST = 8;
+    /** Above this fraction of full servers, the overload is the fleet's and not that of a few servers. */
+    private static final double MANY = 0.2;
+    /** Queue wait at which refusals begin, as a fraction of the tightest latency target. */
+    private static final double QUEUE_AC = 0.15;
+    /** Queue wait, likewise, at which every new key is refused: little more would be answered in time. */
+    private static final double QUEUE_FULL = 0.5;
+    /** Requests over quota are refused with this multiple of the pressure. */
+    private static final double OVER = 10;
+    /** Pressure up to which only requests over quota are refused. */
+    private static final double FIRST = 0.5;
+    /** Requests that a tenant may save up, however small its quota. */
+    private static final double BURST = 6;
+    /** The shortest of this many answers shows how long a request waits in a server's queue. */
+    private static final int LEAST_OF = 4;
+
+    // Choice of a server.
+    /** Bounded load: what one server may have in flight, as a multiple of its part by share. */
+    private static final double BOUND = 1.25;
+    /** Bounded load: what one server may have been sent lately, likewise. */
+    private static final double CROWD = 1.25;
+    /** Bounded load for a session's own server; higher, as a host that knows the key does less work. */
+    private static final double STICKY = 1.3;
+    /** Number of sends, for each server, that count as sent lately. */
+    private static final double HISTORY = 4;
+    /** Eligible servers that are drawn before the least loaded of them is taken. */
+    private static final int CANDIDATES = 6;
+    /** Least number of slots in the draw table, enough for even parts of 500 servers. */
+    private static final int PLACES = 4096;
+    /** Draws in all, which bounds the work that a request costs. */
+    private static final int DRAWS = 64;
+
+    // Budgets and memory.
+    /** Retry budget: retries earned by each request that comes in. */
+    private static final double RETRY_SHARE = 0.1;
+    /** Probe budget: probes earned by each request that comes in. */
+    private static final double PROBE_SHARE = 0.02;
+    /** What an unused budget may save up. */
+    private static final double BUDGET_MOST = 20;
+    /** Sessions remembered at most; bounds memory. */
+    private static final int KEYS_MOST = 50_000;
+
+    // Cold hosts.
+    /** Fraction of a warm host's rate that the cold budget is based on: keys cost a cold host more. */
+    private static final double CREDIT = 0.8;
+    /** Factor on a cold host's rate for each list that shows it idle. */
+    private static final double IDLE_MORE = 1.25;
+    /** Factor for each list that shows it busy; undoes two increases. */
+    private static final double BUSY_LESS = 0.64;
+
+    // Moving averages, zones, sizes and the log.
+    /** Weight of the newest refresh in averages over refreshes. */
+    private static final double EWMA = 0.2;
+    /** Weight of one sample in a class's typical latency. */
+    private static final double USUAL = 0.01;
+    /** Factor on earlier counts of losses on idle connections with each new outcome. */
+    private static final double IDLE_KEEP = 0.9;
+    /** Weight of one report in the CPU utilization of its host model. */
+    private static final double USUAL_CPU = 0.1;
+    /** Factor on the share of a server in another zone. */
+    private static final double AWAY = 0.3;
+    /** Exponent that moves a model's size only part of the way to even utilization in one step. */
+    private static final double EVEN = 0.2;
+    /** Bound on a model's size relative to the mean, up and down. */
+    private static final double UNEVEN = 8;
+    /** Refreshes between two log lines about refusals. */
+    private static final int LOG_EVERY = 10;
     private static final String TIMER = "refresh";
     private static final String ASK = "ask";
 
-    /** A tenant's share at this gateway. Only what is admitted draws on it: clients whose requests are
-        refused try again, and their tries must not make a quiet tenant look greedy. */
+    /** Token bucket for a tenant's quota at this gateway. Only admitted requests take a token: clients whose
+        requests are refused try again, and these tries must not use up the quota of a quiet tenant. */
     private static final class Share {
         private final double perSecond;
         private double left;
@@ -94,6 +165,7 @@
             at = now;
         }
 
+        /** Adds the tokens earned since the last call; returns whether a request is within the quota. */
         boolean holds(long now) {
             left = Math.min(Math.max(perSecond, BURST), left + perSecond * (now - at) / 1e6);
             at = now;
@@ -104,36 +176,54 @@
     private Settings settings;
     private Actions actions;
     private SplittableRandom random;
+    /** Index of each class in the settings, by its name. */
     private final Map<String, Integer> classes = new HashMap<>();
     private final Map<String, Share> tenants = new HashMap<>();
+    /** Moving average of each class's latency, in microseconds. */
     private double[] usual;
     private double mostWorth;
+    /** Whether the list's weights tell how large hosts are. */
     private boolean weighted;
+    /** The servers of the list, by address. */
     private final Map<String, Server> servers = new LinkedHashMap<>();
+    /** By the name of the host model. */
     private final Map<String, Pool> kinds = new LinkedHashMap<>();
+    /** Slots that a request's key is hashed to; each server holds as many as any other. */
     private Server[] table = new Server[0];
     private double shareSum;
     private double shareMost;
     private double queueSum;
     private int outSum;
     private double recentSum;
+    /** 0 while nothing has to be refused, 1 where all new keys are. */
     private double fleetPressure;
     private boolean manyFull;
+    /** Theta: a server with a longer response time gets nothing. */
     private double theta = UNBOUNDED;
+    /** The least latency target of a class, as a multiple of its typical latency. */
     private double aimUsual = UNBOUNDED;
     private double fleetFailing;
+    /** Whether the list's weights tell how busy hosts are. */
     private boolean loadsListed;
     private long listedAt;
-    private double unhindered;  // microseconds that a request takes on a host that holds no other
-    private Map<String, Double> zoneLoads = Map.of();  // requests held a core, as the list tells
+    /** Time in microseconds that a request takes on a host that serves no other. */
+    private double unhindered;
+    /** Mean number of requests for each core in a zone, as told by the list. */
+    private Map<String, Double> zoneLoads = Map.of();
+    /** Requests without a final answer, by id. */
     private final Map<Long, Held> held = new LinkedHashMap<>();
+    /** The server that each key was sent to last, least recently used first. */
     private final LinkedHashMap<Long, Session> sessions = new LinkedHashMap<>(64, 0.75f, true);
+    /** Ring buffers of the lateness of ended attempts, for admission. */
     private final long[] servedAt = new long[SERVED];
     private final double[] served = new double[SERVED];
     private int servedCount;
+    /** Requests since the last refresh, and those of them without a session. */
     private int arrived;
     private int arrivedNew;
-    private double newPart = 0.5;  // of what arrives, with keys not seen; until it is known, half
+    /** Fraction of requests without a session; half until it is known. */
+    private double newPart = 0.5;
+    /** Samples that admission waits for; between the two limits, by the requests of a refresh. */
     private double few = SERVED_LEAST;
     private long tightestAim = Long.MAX_VALUE;
     private double retryBudget = BUDGET_MOST / 2;
@@ -142,17 +232,20 @@
     private long askAt = Long.MAX_VALUE;
     private long askedAt;
     private int askFailures;
+    /** Attempts lost, and all that ended, by the power of two of the connection's idle time in
+        microseconds. */
     private final double[] idleLost = new double[64];
     private final double[] idleSeen = new double[64];
+    /** Idle time in microseconds from which connections are closed rather than used; expires. */
     private long idleLimit = Long.MAX_VALUE;
     private long idleUntil;
-    // Since the last line of the log.
+    // Refusals since the last log line, by cause.
     private int refreshes;
     private int pressed;
     private int homeless;
     private int givenUp;
 
-    // ---- events
+    // ---- Events
 
     @Override
     public void start(long now, Settings given, Actions asked) {
@@ -237,7 +330,7 @@
         }
         Attempt mine = req.attempts.get(attempt);
         if (!mine.streaming && mine.server.unanswered > 0) {
-            mine.server.unanswered--;  // it may last: no sign of silence
+            mine.server.unanswered--;  // a long stream is no sign of a silent server
         }
         req.streaming = true;
         mine.streaming = true;
@@ -251,7 +344,7 @@
         boolean known = req != null && number >= 0 && number < req.attempts.size();
         Attempt attempt = known ? req.attempts.get(number) : null;
         if (attempt == null || !attempt.out) {
-            return;  // late or repeated: counted once, or the sums of what is out drift
+            return;  // late or repeated; counted twice, the sums of attempts in flight would be wrong
         }
         settle(now, req, attempt, outcome, elapsed);
         if (counts(now, attempt.server) && outcome != Outcome.REVOKED && outcome != Outcome.UNUSED) {
@@ -286,7 +379,8 @@
     @Override
     public void timerFired(long now, String handle) {
         if (handle.equals(TIMER)) {
-            actions.scheduleTimer(now + REFRESH, TIMER);  // first: a fault in what follows must not end the refreshes
+            // Before anything else: an exception in what follows must not end the refreshes.
+            actions.scheduleTimer(now + REFRESH, TIMER);
             refresh(now);
             probeSome();
         }
@@ -302,7 +396,7 @@
         return (int) servers.values().stream().filter(server -> target(now, server) == 0).count();
     }
 
-    // ---- server estimate: resp_time(s)
+    // ---- Response time estimate of a server: resp_time(s)
 
     private void settle(long now, Held req, Attempt attempt, Outcome outcome, long elapsed) {
         Server server = attempt.server;
@@ -344,8 +438,8 @@
         server.share = Math.min(server.share, target(now, server));
     }
 
-    /** Once half of a zone is down, so is what has been silent there as long: a zone cut off or lost should
-        not cost a request for each of its servers. */
+    /** Marks a server down. Once more than half of its zone is down, so are the zone's servers that have not
+        answered for as long: a lost zone should not cost a request for each of its servers. */
     private void markDown(long now, Server server) {
         server.down = true;
         String name = server.host.zone();
@@ -356,7 +450,7 @@
         zone.stream().filter(s -> s.down).forEach(s -> s.share = 0);
     }
 
-    /** A server that was silent may have restarted before the registry knows: it comes back as if cold. */
+    /** A server that was down may have restarted, which the registry reports later: it comes back as cold. */
     private void answered(long now, Server server) {
         server.answeredAt = now;
         server.unanswered = 0;
@@ -384,15 +478,16 @@
         }
     }
 
-    /** Live weights are sizes over 1 + the requests that a host holds a core: all gateways' together, while
-        each knows no more than its own. A kind's highest weight is its size. */
+    /** Derives loads from the list's weights, which in live mode are size / (1 + requests per core). They
+        count the requests of all gateways, of which each knows only its own. The size is a model's highest
+        weight. A new list that shows a cold host idle raises its rate; one that shows it busy lowers it. */
     private void learnLoads(long now, boolean listed) {
         for (Server server : servers.values()) {
             server.kind.weightMost = Math.max(server.kind.weightMost, server.host.weight());
         }
         boolean told = loadsTold(now);
         for (Server server : servers.values()) {
-            boolean idle = 2 * server.host.weight() > server.kind.weightMost;  // less than one a core
+            boolean idle = 2 * server.host.weight() > server.kind.weightMost;  // under one request per core
             if (!told || server.coldSince == 0) {
                 server.idle = 1;
             } else if (listed) {
@@ -414,7 +509,8 @@
         return loadsListed && listedAt > 0 && now - listedAt < LIST_FRESH;
     }
 
-    /** The server's own window; attempts still out count as at least their age, so a freeze shows early. */
+    /** Computes the p95 and the failures of a server's own samples. Attempts in flight count with their age
+        if that exceeds the estimate, so that a server that hangs shows early. */
     private void measure(long now, Server server) {
         double[] values = new double[SAMPLES + server.out.size()];
         int count = 0;
@@ -441,7 +537,7 @@
         server.ownFailures = failures;
     }
 
-    /** Blends the own window with that of the kind, the fewer samples the more. */
+    /** resp_time(s): the server's own p95 blended with that of its model, which counts as PRIOR_SAMPLES. */
     private void estimate(Server server) {
         int n = server.ownCount;
         Pool kind = server.kind;
@@ -451,15 +547,18 @@
         server.serving = (n + PRIOR) / (n + server.ownFailures + PRIOR);
     }
 
-    /** Over a twentieth of attempts, and beyond what chance makes of that. Where the whole fleet fails more,
-        as in an overload, the bar goes with it: emptying S* would crush the few servers left in it. */
+    /** Whether failures exceed MAX_FAILURE_FRACTION by more than chance explains. Where the whole fleet
+        fails more, as in an overload, the limit rises with it: emptying S* would overload the servers left
+        in it. */
     private boolean failing(Server server) {
         double expected = Math.max(FAILING, FAR * fleetFailing) * (server.ownCount + server.ownFailures);
         return server.ownFailures - 1 > expected + Math.sqrt(expected);
     }
 
-    // ---- shares and S*
+    // ---- Shares and the eligible set (S*)
 
+    /** Computes estimates, threshold, shares and pressure anew; once every REFRESH_INTERVAL_MICROS
+        (T_obs). */
     private void refresh(long now) {
         double span = Math.max(1, now - refreshedAt) / 1e6;
         refreshedAt = now;
@@ -521,7 +620,7 @@
         report(now);
     }
 
-    /** Why requests were turned away, for the operator: no more than a line for some refreshes. */
+    /** Logs for operators why requests were refused; at most one line in REFRESHES_PER_LOG_LINE refreshes. */
     private void report(long now) {
         if (++refreshes % LOG_EVERY != 0 || pressed + homeless + givenUp == 0) {
             return;
@@ -538,9 +637,9 @@
         pressed = homeless = givenUp = 0;
     }
 
-    /** Where reports tell how busy cores are and no weight tells sizes, kinds are given more or less until
-        all are alike busy: at full size no gateway sees enough of one server, but soon enough of a kind. A
-        turn waits until every kind has been heard since the last: turns on old reports never end. */
+    /** Adjusts the relative sizes of host models until all report the same CPU utilization. Works by model,
+        as one gateway of many gets too few reports of a single server. Each step waits for a new report of
+        every model: steps on old reports would go on without end. */
     private void sizeKinds() {
         if (kinds.values().stream().anyMatch(k -> !k.heard)) {
             return;
@@ -562,11 +661,12 @@
         return parts.length == 0 ? 0 : parts[parts.length / 2];
     }
 
-    /** theta = k * T_SS with k = ceil(r~ / T_SS). T_SS is the tightest deadline, the upper end of what the
-        design allows: S* holds every server that still answers in time, and shares of sound ones don't follow
-        the noise of a 95th percentile, which would move keys away from the servers that have them warm. */
+    /** theta = k * T_SS with k = ceil(r~ / T_SS). T_SS is the tightest deadline, the highest value that the
+        method allows: S* holds every server that answers in time, and the shares of healthy servers don't
+        follow the noise of a p95, which would move keys away from the servers that have them cached. */
     private void setThreshold() {
-        double[] times = servers.values().stream().filter(s -> !s.down && s.host.state() == HostState.IN_SERVICE)
+        double[] times = servers.values().stream()
+                .filter(s -> !s.down && s.host.state() == HostState.IN_SERVICE)
                 .mapToDouble(s -> s.respTime).sorted().toArray();
         if (times.length == 0) {
             return;
@@ -580,8 +680,9 @@
         theta = tss * Math.ceil(times[(int) (LOWEST * times.length)] * 1.01 / tss);
     }
 
-    /** (theta - resp_time(s)) / theta, no more than the capacity there is while cold, in the part in which it
-        serves (failures leave no latencies), and less in another zone: crossing costs time and points. */
+    /** The share a server should have: its headroom (theta - resp_time(s)) / theta, times its size, its
+        warm fraction, the fraction of attempts that succeed (failures leave no latencies) and the zone's
+        factor. */
     private double target(long now, Server server) {
         if (server.down || server.host.state() != HostState.IN_SERVICE || server.respTime > theta) {
             return 0;
@@ -591,8 +692,9 @@
         return (theta - server.respTime) / theta * size * warmth(now, server) * server.serving;
     }
 
-    /** Crossing costs time and points, so home goes first; the less so the more it holds than the other zone.
-        All gateways of a zone hold on to it together, and would choke its hosts while others idle. */
+    /** Lower for another zone, as crossing zones costs time and a penalty; the less so the busier the own
+        zone is than the other. All gateways of a zone prefer it and would overload it while other zones
+        idle. */
     private double near(String zone) {
         String home = settings.topology().zone();
         double crowd = (1 + zoneLoads.getOrDefault(home, 0.0)) / (1 + zoneLoads.getOrDefault(zone, 0.0));
@@ -603,11 +705,13 @@
         return now - server.queueAt < REPORT_FRESH ? server.queue : 0;
     }
 
-    // ---- draw and stickiness
+    // ---- Choice of a server, and sessions
 
-    /** Gateways that agree on the shares draw the same server for a key, since the key seeds the draw. Within
-        a share, a request passes on from a server with a queue: it would be refused while others have none.
-        What is beyond shares doesn't: that would crowd these. */
+    /** Draws servers in proportion to their shares, by rejection, until one is not too loaded; null if no
+        server may be used. The key seeds the draw, so gateways that agree on the shares choose the same
+        server for it. A request within its tenant's quota also avoids servers with a queue, where it might
+        be refused while other servers have none. Requests over quota don't: they would fill those servers
+        too. */
     private Server draw(long now, Held req) {
         Server least = null;
         double leastBurden = Double.MAX_VALUE;
@@ -631,9 +735,10 @@
         return least;
     }
 
-    /** What a server holds with one more, against its part by share of what all hold; small counts pass.
-        Of many gateways none holds much, so what it was sent lately is weighed alike: a popular key is
-        spread over the servers next in its order at every gateway, though none sees a crowd. */
+    /** Bounded load: attempts in flight and queued, with one more, relative to the server's part of all by
+        share; up to 2 are always allowed. Recent sends are bounded likewise, as one gateway of many has few
+        attempts in flight: this spreads a popular key over the next servers in its order. Above 1 is too
+        much. */
     private double burden(long now, Server server) {
         double holds = server.out.size() + queue(now, server) + 1;
         double part = server.share / Math.max(shareSum, 1e-9);
@@ -642,6 +747,7 @@
         return Math.max(crowd / CROWD, burden / BOUND);
     }
 
+    /** The session's server, or null if it can't be used or is too loaded. */
     private Server stick(long now, Held req, Session session) {
         Server server = session.server();
         boolean fits = server.inSet && !server.down && maySend(now, req, server);
@@ -658,8 +764,9 @@
         }
     }
 
-    /** Gives every server as many places as the next, taken in turn in an order of its own: the same at every
-        gateway whatever the order of its list, and a server that comes or goes moves few places of others. */
+    /** Fills the draw table (Maglev hashing): servers take slots in turn, each in a pseudo-random order of
+        its own. All get equally many, the table is the same at every gateway whatever the order of its list,
+        and a server that is added or removed moves few slots of others. */
     private void seat() {
         Server[] order = servers.values().toArray(new Server[0]);
         Arrays.sort(order, Comparator.comparing(server -> server.host.address()));
@@ -680,17 +787,19 @@
         }
     }
 
+    /** The 64-bit finalizer of SplitMix64. */
     private static long mix(long value) {
         long z = (value ^ value >>> 30) * 0xBF58476D1CE4E5B9L;
         z = (z ^ z >>> 27) * 0x94D049BB133111EBL;
         return z ^ z >>> 31;
     }
 
-    // ---- admission
+    // ---- Admission
 
-    /** The design's figure: the 95th percentile of what S* served just now. Where few servers are full by
-        their own queue, without those: a tenth would have all refuse. What waits late and isn't overtaken
-        counts as served; what failed does only once half of all is late or lost: then nothing is served. */
+    /** Pressure from the 95th percentile of the lateness of what S* served lately. While only a few servers
+        are full, these are left out: a tenth of the servers would make the whole gateway refuse. Requests in
+        flight that are late and not overtaken count as served. Failed attempts count only in a second figure,
+        the median of all: it is high once half of all are late or failed, when hardly anything is served. */
     private void setPressure(long now) {
         int kept = Math.min(SERVED, servedCount);
         double[] values = new double[kept + held.size()];
@@ -709,7 +818,8 @@
         }
         for (Held req : held.values()) {
             Attempt attempt = req.attempts.get(req.attempts.size() - 1);
-            if (now - req.since > req.type.latencyTarget() && !attempt.streaming && counts(now, attempt.server)) {
+            if (now - req.since > req.type.latencyTarget() && !attempt.streaming
+                    && counts(now, attempt.server)) {
                 all[total++] = lateness(now, req);
                 if (attempt.sentAt > attempt.server.overtook) {
                     values[count++] = lateness(now, req);
@@ -720,38 +830,43 @@
         fleetPressure = Math.max(0, Math.min(1, (late - T_AC) / (T_FULL - T_AC)));
     }
 
+    /** Sorts the first {@code count} values; 0 for too few. The highest value is never taken. */
     private double quantile(double[] values, int count, double part) {
         Arrays.sort(values, 0, count);
         return count < few ? 0 : values[Math.min(count - 2, (int) Math.ceil(part * count) - 1)];
     }
 
-    /** Up to the aim its part of that, then 1 plus the part of the way on to the deadline. */
+    /** Elapsed time relative to the latency target up to 1, then 1 plus the fraction of the way from the
+        target to the deadline. */
     private static double lateness(long now, Held req) {
         double waited = now - req.since;
         long aim = req.type.latencyTarget();
         return waited <= aim ? waited / aim : 1 + (waited - aim) / Math.max(1, req.type.deadline() - aim);
     }
 
-    /** How far a server's queue fills the tightest aim: 0 up to QUEUE_AC, 1 from QUEUE_FULL. Judged server by
-        server by its shortest answer: long requests lift a percentile, only a queue lifts the shortest. */
+    /** The higher of the fleet's pressure and that of the server's queue, at most 1. */
     private double pressure(long now, Server server) {
         return Math.max(fleetPressure, Math.min(1, filled(now, server)));
     }
 
+    /** Whether a server's latencies count for the fleet's pressure. */
     private boolean counts(long now, Server server) {
         return server.inSet && (manyFull || !full(now, server));
     }
 
-    /** By its queue, or by its own 95th percentile: a slow server that gets little soon shows no queue. */
+    /** Judged by its queue and by its own p95, as a slow server that gets few requests shows no queue. */
     private boolean full(long now, Server server) {
         return filled(now, server) > 0 || server.ownP95 > aimUsual;
     }
 
+    /** Pressure of a server's queue: 0 where refusals begin, 1 where all new keys are refused; unbounded both
+        ways. The queue wait comes from the shortest answers: long requests raise a percentile, but only a
+        queue raises the shortest answer. */
     private double filled(long now, Server server) {
         return (waiting(now, server) / tightestAim - QUEUE_AC) / (QUEUE_FULL - QUEUE_AC);
     }
 
-    /** Takes the shortest of every few answers; a shorter one counts at once. */
+    /** Sets the queue wait to the shortest of ANSWERS_PER_WAIT answers; a shorter answer counts at once. */
     private void learnWait(long now, Server server, double wait) {
         server.least = Math.min(server.least, wait);
         if (++server.leastOf >= LEAST_OF || wait < waiting(now, server)) {
@@ -766,18 +881,20 @@
         server.leastOf = 0;
     }
 
-    /** A queue that nobody adds to drains as time goes by. Where the list tells loads, what a host holds
-        beyond one a core waits, each for as long as one takes unhindered: the crowd of all gateways, of which
-        each sees few answers and late. */
+    /** The last known queue wait less the time since, as the queue drains. Where the list carries loads, at
+        least the wait that they imply: requests beyond one per core wait as long as one takes without load.
+        They count the requests of all gateways, while each sees few answers, and those late. */
     private double waiting(long now, Server server) {
         double told = loadsTold(now) && server.host.weight() > 0
                 ? (server.kind.weightMost / server.host.weight() - 2) * unhindered : 0;
         return Math.max(Math.max(0, told), server.wait - (now - server.waitAt));
     }
 
-    /** What is beyond a share first, up to FIRST that alone. Of the rest a part as large as the pressure: new
-        keys first, and remembered ones for what refusing all new ones leaves. How much that is depends on how
-        many are new: where nearly all are known, little would be refused before hosts are jammed. */
+    /** Refuses requests over quota first, and only those up to IN_QUOTA_PRESSURE_START. Of the others, a part
+        as large as the pressure: new keys first, then sessions for the part that refusing all new keys
+        leaves. That depends on the fraction of new keys: where nearly all requests have a session, too few
+        would be refused before hosts are overloaded. Classes of higher value are refused less. Takes a token
+        for a request within quota that is admitted. */
     private boolean refuses(long now, Held req, Share share, boolean remembered, Server server) {
         boolean over = share != null && !req.within;
         double pressure = pressure(now, server);
@@ -793,9 +910,10 @@
         return false;
     }
 
-    // ---- the guards of the four rules
+    // ---- Guarantees: single final answer, no unsafe repeat, drain, cold hosts
 
-    /** The one gate of every send: drains, repeats, parallel tries and cold hosts are kept here. */
+    /** Sends an attempt if the guarantees allow it. All sends pass here, so that the rules on draining hosts,
+        repeats, hedging and cold hosts hold for each. */
     private boolean send(long now, Held req, Server server) {
         if (!maySend(now, req, server)) {
             return false;
@@ -818,9 +936,10 @@
         return true;
     }
 
-    /** Idle connections can be lost unseen (a firewall's or a host's own shorter limit): what is sent on one
-        is reset or never answered. Connections idle for longer than such losses tell are closed before the
-        send. Costs a handshake where the losses had another cause; forgotten after a while. */
+    /** Idle connections can be lost unnoticed (by the shorter limit of a firewall or of a host): a request
+        on one is reset or never answered. Connections that have been idle for longer than earlier losses
+        allow are closed before the send. Where those had another cause, this costs a handshake; the limit
+        expires. */
     private void freshen(long now, Server server, Attempt attempt) {
         long idle = server.out.size() > 1 || server.usedAt == 0 ? 0 : now - server.usedAt;
         if (idle >= idleLimit) {
@@ -830,8 +949,9 @@
         }
     }
 
-    /** Losses by how long the connection was idle, in steps of two. From the longest down, each step where
-        half was lost, and far more than on busy connections (step 0), lowers the limit after two losses. */
+    /** Counts losses by the connection's idle time, in powers of two. From the longest idle time down, the
+        limit is lowered to each at which half of the attempts were lost, and far more than on busy
+        connections (bucket 0), once about two were lost. */
     private void learnIdle(long now, Attempt attempt, boolean lost) {
         int step = attempt.idle <= 0 ? 0 : 63 - Long.numberOfLeadingZeros(attempt.idle);
         idleLost[step] = (lost ? 1 : 0) + idleLost[step] * IDLE_KEEP;
@@ -847,18 +967,21 @@
         }
     }
 
+    /** Whether a request may be sent to a server as its next attempt. */
     private boolean maySend(long now, Held req, Server server) {
         return listed(server) && req.ends > now && !req.streaming
                 && req.attempts.size() < settings.limits().maxAttempts()
                 && mayRepeat(now, req, server, null) && coldAllows(now, req, server);
     }
 
+    /** Whether this very process of the host is listed as in service. */
     private boolean listed(Server server) {
         return server.host.state() == HostState.IN_SERVICE && servers.get(server.host.address()) == server;
     }
 
-    /** An attempt that may have run binds what follows: never, or to its group within the window. That is
-        the next attempt (null), or one that waits to be written. */
+    /** Whether the earlier attempts allow another one at this server: those that may have run forbid it for
+        UNSAFE, and outside their dedup scope or window for KEYED. {@code unwritten} is the attempt that is
+        checked if it exists already and waits to be written, or null. */
     private boolean mayRepeat(long now, Held req, Server server, Attempt waiting) {
         for (Attempt attempt : req.attempts) {
             if (attempt == waiting) {
@@ -886,19 +1009,21 @@
         };
     }
 
-    /** The one gate of every refusal and failure: a refusal only where a new try is proved harmless. */
+    /** Gives the final answer: a refusal where a new try is known to do no harm, else a failure. */
     private void answer(Held req) {
         boolean harmless = req.type.idempotency() == Idempotency.SAFE
                 || req.type.idempotency() == Idempotency.KEYED && req.type.dedupScope() == DedupScope.ALL
                 || req.attempts.stream().allMatch(a -> a.neverRan);
         if (harmless) {
-            actions.refuse(req.id, settings.limits().sendsRetryAfter() ? settings.limits().maxRetryAfter() : 0);
+            actions.refuse(req.id,
+                    settings.limits().sendsRetryAfter() ? settings.limits().maxRetryAfter() : 0);
         } else {
             actions.fail(req.id);
         }
         end(req);
     }
 
+    /** Forgets a request and its attempts in flight, which are cancelled where that is allowed. */
     private void end(Held req) {
         held.remove(req.id);
         for (int i = 0; i < req.attempts.size(); i++) {
@@ -914,9 +1039,10 @@
         }
     }
 
-    /** A cold host may take its part of what warm hosts of its kind take; the first comes at a random phase,
-        so that many gateways' single requests don't arrive together. And no more than it answers: keys that
-        warm hosts know, requests that clients give up, all make the part a guess, in any crowd's surge. */
+    /** Whether the cold budget of a host allows one more attempt. It grows with the rate of warm hosts of the
+        model, times the warm fraction, from a random start, so that the first requests of many gateways don't
+        arrive together. As that rate is a guess (warm hosts have keys cached, clients give up), unanswered
+        attempts are bounded too. */
     private boolean coldAllows(long now, Held req, Server server) {
         if (server.coldSince == 0 || warmth(now, server) == 1) {
             return true;
@@ -930,10 +1056,11 @@
                 || now - server.sentAt >= settings.guarantees().overloadWindow());
     }
 
-    /** What warm hosts of the kind last served a second. Not what they were sent: in an overload that is many
-        times what they can do, and a cold host given its part of it falls. Kept while no host is warm, and
-        for about a warm-up when they serve less: in a collapse the newcomers are what ends it. At the least
-        this gateway's part of what one core does: it may have just started, or all warm hosts have choked. */
+    /** Requests per second that a warm host of the model serves. Not what it is sent: in an overload that is
+        many times its capacity, and a cold host given its part of that would be overloaded. Kept while no
+        host is warm, and for about a warm-up time when warm hosts serve less, as in a collapse only the new
+        hosts can end it. At least this gateway's part of what one core serves: the gateway may have just
+        started, or all warm hosts may be overloaded. */
     private double likeRate(Server server) {
         double known = server.kind.rate > 0 ? server.kind.rate
                 : kinds.values().stream().filter(k -> k.rate > 0).mapToDouble(k -> k.rate).min().orElse(0);
@@ -941,7 +1068,8 @@
         return Math.max(known, oneCore / settings.topology().gatewayCount());
     }
 
-    /** The least part of its capacity that a host can have by now. */
+    /** Fraction of its capacity that a host is certain to have by now; 1 when warm. A down server starts
+        anew. */
     private double warmth(long now, Server server) {
         if (server.down) {
             server.coldSince = now;
@@ -954,6 +1082,7 @@
         return from + (1 - from) * (now - server.coldSince) / settings.guarantees().warmUpTime();
     }
 
+    /** Treats a host as cold from {@code since} on, unless that ended already. */
     private void chill(long now, Server server, long since, long span) {
         if (now - since < span) {
             server.coldSince = Math.max(1, since);
@@ -963,11 +1092,13 @@
         }
     }
 
-    // ---- retries
+    // ---- Retries
 
+    /** Sends a request again within the retry budget, or answers it. */
     private void retry(long now, Held req) {
         boolean pays = req.ends - now > usual[req.cls] / 2;
-        // Only what failed at a silent server is free: a full table fails too, and free retries keep it full.
+        // A retry costs nothing only after a server that is down. Dials also fail at full connection tables,
+        // which free retries would keep full.
         double cost = req.attempts.get(req.attempts.size() - 1).server.down ? 0 : 1;
         Server server = pays && retryBudget >= cost ? draw(now, req) : null;
         if (server != null) {
@@ -978,10 +1109,10 @@
         place(now, req, server);
     }
 
-    // ---- probes and registry
+    // ---- Probes and the host list
 
-    /** Servers that are down, then servers short of samples, within the budget; from a random place, so that
-        late entries of a long list don't starve, and one probe at a time. */
+    /** Probes servers that are down, then those without samples, within the probe budget and one probe at a
+        time for each. Starts at a random server, so that the end of a long list is reached too. */
     private void probeSome() {
         if (!settings.limits().mayProbe()) {
             return;
@@ -1035,20 +1166,22 @@
         seat();
     }
 
-    /** Before the next call: growing while calls are refused at once. One that was given up, or a watch that
-        broke, has taken its time already. What a registry that pushes has counts as told as soon as it can be
-        reached: there the pause leaves half of the time in which sends to a draining host must end. */
+    /** Time until the next list request after a failed one. Grows while requests fail at once; after one that
+        timed out, or a watch that broke, enough time has passed already. With a registry that pushes, a
+        change counts as known as soon as the registry can be reached: there the wait is at most half of the
+        drain grace, within which sends to a draining host must end. */
     private long backoff(long now) {
         Guarantees rules = settings.guarantees();
         boolean pushed = !settings.listOnRequest();
         long most = pushed ? Math.min(BACKOFF_MOST, rules.drainGrace() / 2) : BACKOFF_MOST;
         long least = Math.min(most / 2, pushed ? REFRESH / 2 : rules.listRequestDeadline() / 8);
         boolean atOnce = now - askedAt < BACKOFF_MOST;
-        // Bounded before it is shifted: after 63 failures the span would be negative and the asking end.
+        // The shift is bounded: after 63 failures the delay would be negative and the requests would end.
         long backoff = atOnce ? Math.min(most, least << Math.min(3, askFailures - 1)) : least;
         return Math.max(BACKOFF_LEAST, backoff);
     }
 
+    /** Applies one entry of a host list; a host with a later start is a new server. */
     private void admit(long now, Host host, Server known) {
         if (host.state() == HostState.TERMINATED) {
             servers.remove(host.address());
