--- a/src/main/java/mastdrift/HeadroomBalancer.java
+++ b/src/main/java/mastdrift/HeadroomBalancer.java
@@ -275,13 +275,13 @@
     private static void check(Settings given) {
         require(given.classes().size(), "classes");
         for (RequestClass type : given.classes()) {
-            require(type.latencyTarget(), type.name() + " aim");
+            require(type.latencyTarget(), type.name() + " latency target");
             require(type.deadline(), type.name() + " deadline");
         }
         require(given.topology().gatewayCount(), "gateways");
         require(given.limits().maxAttempts(), "max attempts");
-        require(given.guarantees().coldCapacityFraction(), "cold from");
-        require(given.guarantees().overloadMultiple(), "fall multiple");
+        require(given.guarantees().coldCapacityFraction(), "cold capacity fraction");
+        require(given.guarantees().overloadMultiple(), "overload multiple");
     }
 
     private static void require(double value, String name) {
--- a/src/main/java/mastdrift/wire/Adapter.java
+++ b/src/main/java/mastdrift/wire/Adapter.java
@@ -16,7 +16,10 @@
 import java.util.Map;
 import java.util.function.Supplier;
 
-/** Speaks the wire: reads batches of events, hosts one module an instance, prints their actions. */
+/**
+ * Connects the simulator to balancers: reads batches of events line by line, runs one {@link Balancer} for each gateway
+ * that the simulator names, and prints the actions of all at the end of a batch.
+ */
 final class Adapter {
 
     private static final LoadReport NO_REPORT = report(new double[] {
@@ -39,6 +42,7 @@
         this.modules = modules;
     }
 
+    /** Serves batches until the input ends: {@code tick}, the events, {@code your_turn}. */
     void run() throws IOException {
         String batch = null;
         for (String line = in.readLine(); line != null; line = in.readLine()) {
@@ -65,6 +69,7 @@
         }
     }
 
+    /** Runs one event; messages of an unknown name are ignored. */
     private void event(String tag, Fields f) throws IOException {
         switch (tag) {
             case "init", "detach", "discovery", "call", "under_way", "resolved", "gone", "timer", "echo",
@@ -79,7 +84,7 @@
             event.run();
         } catch (IllegalArgumentException e) {
             if (tag.equals("init")) {
-                throw f.expected("settings the module can run with: " + e.getMessage());
+                throw f.expected("settings that the balancer can run with: " + e.getMessage());
             }
             panic(name, e);
         } catch (RuntimeException e) {
@@ -87,6 +92,7 @@
         }
     }
 
+    /** Reports an exception of a balancer to the simulator and on standard error. */
     private void panic(String name, RuntimeException e) {
         String text = String.valueOf(e).replace('\n', ' ');
         err.println("fault in " + name + ": " + text);
@@ -94,7 +100,7 @@
     }
 
     private Runnable init(String name, Fields f) {
-        long seed = f.number("the salt");
+        long seed = f.number("the seed");
         Balancer.Settings settings = settings(f, seed);
         Balancer module = modules.get();
         instances.put(name, module);
@@ -110,7 +116,7 @@
         }
     }
 
-    /** Reads the whole event before the module hears of it. */
+    /** Parses an event completely before the balancer gets it, so that a malformed line changes nothing. */
     private Runnable read(String tag, String name, Fields f) throws IOException {
         Balancer module = instances.get(name);
         if (tag.equals("detach")) {
@@ -138,7 +144,7 @@
                 long id = f.number("a request id");
                 return () -> module.clientLeft(now, id);
             case "timer":
-                String handle = f.text("a handle");
+                String handle = f.text("a timer handle");
                 return () -> module.timerFired(now, handle);
             case "from_peer":
                 int peer = (int) f.number("a peer's number");
@@ -149,7 +155,7 @@
         }
     }
 
-    /** The sum of marks: 1, the estimate holds; 2, a client's repeat; 4, a write. */
+    /** Flags are a sum of 1 (the expected work is known), 2 (a client's repeat) and 4 (a write). */
     private static Balancer.Request call(Fields f) {
         long id = f.number("a request id");
         String type = f.text("a class");
@@ -157,8 +163,8 @@
         String tenantName = tenant == null || tenant.equals("0") ? null : tenant;
         Long key = f.numberOrNull("a key");
         long left = f.number("the time left");
-        long estimate = f.number("an estimate", 0);
-        long marks = f.number("a sum of marks", 0);
+        long estimate = f.number("the expected work", 0);
+        long marks = f.number("a sum of flags", 0);
         return new Balancer.Request(id, type, tenantName, key, left, (marks & 1) != 0 ? estimate : 0,
                 (marks & 2) != 0, (marks & 4) != 0);
     }
@@ -198,7 +204,7 @@
     }
 
     private static ListUpdateType form(Fields f) {
-        String word = f.text("the form of the list");
+        String word = f.text("the type of the list update");
         return switch (word) {
             case "delta" -> ListUpdateType.DELTA;
             case "full" -> ListUpdateType.FULL;
@@ -208,8 +214,9 @@
         };
     }
 
+    /** Parses the rest of a list message and the entry lines that follow it. */
     private List<Host> entries(Fields f) throws IOException {
-        f.number("a version", 0);
+        f.number("a list version", 0);
         long count = f.number("the number of entries", 0);
         List<Host> hosts = new ArrayList<>();
         for (long i = 0; i < count; i++) {
@@ -226,11 +233,11 @@
         if (!f.text("entry").equals("entry")) {
             throw f.expected("an entry line");
         }
-        int pod = (int) f.number("a pod", 0);
+        int pod = (int) f.number("a cell number", 0);
         String address = f.text("a host");
-        String zone = f.text("a campus");
-        double weight = f.real("a capacity", 1);
-        String kind = f.text("a kind");
+        String zone = f.text("a zone");
+        double weight = f.real("a weight", 1);
+        String kind = f.text("a host model");
         String health = f.text("a health");
         HostState state = switch (health) {
             case "U" -> HostState.IN_SERVICE;
@@ -241,6 +248,7 @@
         return new Host(address, zone, pod, kind, weight, state, f.number("a start time", 0));
     }
 
+    /** Parses {@code name:value,...}; unknown names are ignored. */
     private static LoadReport metrics(Fields f) {
         String text = f.optional();
         if (text == null) {
@@ -265,7 +273,7 @@
         return new LoadReport(v[0], v[1], v[2], v[3], v[4], v[5]);
     }
 
-    /** Prints one instance's actions. */
+    /** Appends one instance's actions to the output of the batch. */
     private final class Printer implements Balancer.Actions {
 
         private final String name;
--- a/src/main/java/mastdrift/wire/Facts.java
+++ b/src/main/java/mastdrift/wire/Facts.java
@@ -21,16 +21,17 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads an instance's settings from paths and their values, as its {@code init} line has them. */
+/** Parses an instance's settings from pairs of a path and a value, as they stand in the {@code init} line. */
 public final class Facts {
 
     private final Map<String, String> values;
 
-    /** Lists of plain values are joined by commas; lists of objects have a count and items by number. */
+    /** Values by path. A list of plain values is joined by commas; a list of objects has a count and numbered items. */
     public Facts(Map<String, String> values) {
         this.values = values;
     }
 
+    /** Takes all remaining fields of a line, each {@code path=value}. */
     static Facts read(Fields fields) {
         Map<String, String> values = new HashMap<>();
         for (String pair : fields.rest()) {
@@ -43,8 +44,10 @@
         return new Facts(values);
     }
 
-    /** Settings that a module can't do without are required; the others have a default that changes nothing.
-        Throws IllegalArgumentException that names what it lacks. */
+    /** The settings, with a neutral default for each that isn't required.
+     *
+     * @throws IllegalArgumentException that names the setting that is missing or malformed
+     */
     public Settings settings(long seed) {
         List<RequestClass> classes = new ArrayList<>();
         for (int i = 0; i < number("classes.count"); i++) {
@@ -164,6 +167,7 @@
         return values.containsKey(path) ? flag(path) : absent;
     }
 
+    /** The index of the value at a path among the words that are allowed there. */
     private int oneOf(String path, String... words) {
         int found = List.of(words).indexOf(text(path));
         if (found < 0) {
--- a/src/main/java/mastdrift/wire/Fields.java
+++ b/src/main/java/mastdrift/wire/Fields.java
@@ -4,7 +4,8 @@
 import java.util.HexFormat;
 import java.util.List;
 
-/** The space-separated parts of one line, read in order; a trailing part left out counts as absent. */
+/** Reads the space-separated fields of one line in order. A field is absent if it is {@code -} or if the line ends
+    before it. The name that each method takes says in the exception what was expected. */
 final class Fields {
 
     private final String line;
@@ -18,7 +19,7 @@
         return line;
     }
 
-    /** The next part, or null where it is absent. */
+    /** The next field, or null if it is absent. */
     String optional() {
         if (at > line.length()) {
             return null;
@@ -54,7 +55,7 @@
         return part == null ? null : Long.valueOf(parse(part, name));
     }
 
-    /** Hex digits; an absent part holds no bytes. */
+    /** Bytes as hex digits; an absent field is an empty array. */
     byte[] bytes(String name) {
         String part = optional();
         try {
@@ -64,6 +65,7 @@
         }
     }
 
+    /** Bytes as hex digits, or {@code -} for none. */
     static String hex(byte[] bytes) {
         return bytes.length == 0 ? "-" : HexFormat.of().formatHex(bytes);
     }
@@ -81,7 +83,7 @@
         return part.equals("1");
     }
 
-    /** All parts that remain. */
+    /** The fields up to the first that is absent. */
     List<String> rest() {
         List<String> parts = new ArrayList<>();
         for (String part = optional(); part != null; part = optional()) {
--- a/src/main/java/mastdrift/wire/Main.java
+++ b/src/main/java/mastdrift/wire/Main.java
@@ -11,12 +11,12 @@
 import java.io.PrintStream;
 import java.nio.charset.StandardCharsets;
 
-/** Command line: {@code adapter} speaks the wire on standard input and output. */
+/** Command line: {@code adapter} serves the simulator's protocol on standard input and output. */
 public final class Main {
 
     private Main() { }
 
-    /** Runs and exits with the status. */
+    /** Runs the command; exits with a status unless that is 0. */
     public static void main(String[] args) throws IOException {
         int status = run(args, System.in, System.out, System.err);
         if (status != 0) {
@@ -24,7 +24,8 @@
         }
     }
 
-    /** As {@link #main}, on the given streams; returns the exit status. */
+    /** Runs the command on the given streams and returns the exit status: 0, or 2 for wrong arguments or a malformed
+        line. */
     static int run(String[] args, InputStream in, OutputStream out, PrintStream err) throws IOException {
         if (args.length != 1 || !args[0].equals("adapter")) {
             err.println("usage: java -jar mastdrift.jar adapter");
--- a/src/main/java/mastdrift/wire/MalformedLineException.java
+++ b/src/main/java/mastdrift/wire/MalformedLineException.java
@@ -1,6 +1,6 @@
 package mastdrift.wire;
 
-/** A line of the wire, or a setting in it, that can't be read or run with. */
+/** A line of the simulator's protocol that can't be parsed, or that has settings a balancer can't run with. */
 final class MalformedLineException extends RuntimeException {
 
     private static final long serialVersionUID = 1L;
