--- a/src/test/java/mastdrift/AdmissionTest.java
+++ b/src/test/java/mastdrift/AdmissionTest.java
@@ -8,10 +8,10 @@
 import java.util.Deque;
 import org.junit.jupiter.api.Test;
 
-/** Who is refused in an overload. Aim 300 ms, deadline 1 s. */
+/** Which requests are refused in an overload. Latency target 300 ms, deadline 1 s. */
 class AdmissionTest {
 
-    /** One full server must not make the gateway refuse requests that go elsewhere. */
+    /** Guards against a full server that makes the gateway refuse requests for other servers. */
     @Test
     void aFullServerRefusesOnlyItsOwn() {
         Gateway gateway = new Gateway().start(4);
@@ -25,7 +25,7 @@
         assertTrue(gateway.sent.size() - before > 70);
     }
 
-    /** Long requests lift a percentile, but not the shortest answers: nothing is refused. */
+    /** Guards against long requests taken for a queue: they raise a percentile, but not the shortest answers. */
     @Test
     void longRequestsAloneRefuseNobody() {
         Gateway gateway = new Gateway().start(4);
@@ -37,7 +37,8 @@
         assertEquals(0, gateway.refused.size());
     }
 
-    /** h1 and h10, slow, lift the fleet's p95; requests for the other nine hosts must go on. */
+    /** Guards against two slow hosts, h1 and h10, that raise the p95 of all so that requests for the other nine hosts
+        are refused. */
     @Test
     void twoSlowServersOfElevenDoNotHaveTheFleetRefuse() {
         Gateway gateway = new Gateway().start(11);
@@ -60,8 +61,8 @@
         assertTrue(gateway.refused.size() < 200, "refused " + gateway.refused.size() + " of 1000");
     }
 
-    /** A fifth of the answers never comes back, the rest is quick: no overload. Only servers that owe
-        the newest answer may look full for a while; once most requests were refused here. */
+    /** Guards against lost answers taken for an overload, which refused most requests: a fifth of the answers never
+        comes, the others are quick. Only a server whose latest answer is missing may look full for a while. */
     @Test
     void lostAnswersAloneRefuseFew() {
         Gateway gateway = new Gateway().start(12);
@@ -85,7 +86,8 @@
         assertTrue(atOnce < 300, "refused at once: " + atOnce);
     }
 
-    /** Five requests a second, all served late: a percentile of two seconds would know nothing. */
+    /** Guards against a gateway that never refuses for lack of samples: at five requests a second, all served late, two
+        seconds give too few for a percentile. */
     @Test
     void aQuietGatewayRefusesInAnOverloadToo() {
         Gateway gateway = new Gateway().start(300);
@@ -101,7 +103,7 @@
         assertTrue(gateway.refused.size() > 20, "refused " + gateway.refused.size());
     }
 
-    /** Queues of servers that never stop work grow for as long as nobody refuses: a few samples must do. */
+    /** Guards against refusals that begin too late: queues grow until then, so a few samples have to be enough. */
     @Test
     void aQuietGatewayDoesNotWaitForTwentySamples() {
         Gateway gateway = new Gateway().start(300);
@@ -116,7 +118,7 @@
         assertTrue(gateway.refused.size() > 2, "refused " + gateway.refused.size());
     }
 
-    /** One long answer among a quiet gateway's few is chance: it refuses nobody. */
+    /** Guards against refusals for a single long answer among the few of a quiet gateway. */
     @Test
     void aSingleLongAnswerRefusesNobodyAtAQuietGateway() {
         Gateway gateway = new Gateway().start(300);
@@ -147,8 +149,8 @@
         assertTrue(refusedOld < refusedNew / 5, "old " + refusedOld + " new " + refusedNew);
     }
 
-    /** Guards against admission that waits for a jam where all keys are known and none are new to refuse: a queue
-        half way to a full one has some of the remembered ones refused. */
+    /** Guards against refusals that begin only with full queues where all keys have a session and there are no new keys
+        to refuse: with queues half full, some requests with a session are refused. */
     @Test
     void rememberedSessionsAreRefusedBeforeAllQueuesAreFull() {
         Gateway gateway = new Gateway().start(4);
@@ -166,7 +168,7 @@
         gateway.refused.clear();
     }
 
-    /** One request; hosts with that prefix take {@code elapsed}, others 20 ms. */
+    /** One request; hosts whose address has that prefix answer in {@code elapsed}, others in 20 ms. */
     private static void answer(Gateway gateway, long key, String prefix, long elapsed) {
         long id = gateway.request(key);
         gateway.advance(10_000);
--- a/src/test/java/mastdrift/ColdFleetTest.java
+++ b/src/test/java/mastdrift/ColdFleetTest.java
@@ -19,21 +19,23 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Rule 4 for a fleet: what all gateways together send to a host that has just started. They share nothing, each has
-    keys and a seed of its own; hosts are queues in simulated time. */
+/** The guarantee for cold hosts across a fleet: what all gateways together send to a host that has just started. They
+    share nothing, and each has its own keys and seed; hosts are queues in simulated time. */
 class ColdFleetTest {
 
     private static final Guarantees RULES = new Guarantees(20_000, 1_500_000, 0, 0.32, 8_000_000, 4, 1_000_000);
-        private static final long STEP = 5_000;
+    private static final long STEP = 5_000;
     private static final long SECOND = 1_000_000;
     private static final long JOINS = 11 * SECOND;
     private static final long BURST = 15 * SECOND;
-    private static final long END = 19 * SECOND;  // it is warm
+    private static final long END = 19 * SECOND;  // when the cold host has warmed up
     private static final long LATE_MOST = 1_500_000;
 
+    /** What happens besides the burst: nothing, some gateways get several times the mean traffic, most gateways restart
+        in the burst, or a third of the connections open late. */
     private enum Kind { PLAIN, UNEQUAL, RESTARTS, LATE }
 
-    /** One host: so many requests a second when warm, served in turn by one core. */
+    /** A host with one core that serves its requests in turn, at this rate when warm. */
     private static final class Machine {
         private final double rate;
         private long born;
@@ -49,7 +51,7 @@
             return born == 0 ? 1 : Math.min(1, RULES.coldCapacityFraction() + (1 - RULES.coldCapacityFraction()) * (now - born) / RULES.warmUpTime());
         }
 
-        /** When it has served one that comes now. */
+        /** Queues a request that comes now; returns when it will have been served. */
         long serve(long now) {
             free = Math.max(now, free) + (long) (1e6 / (rate * warmth(now)));
             held.add(free);
@@ -61,7 +63,8 @@
             return held.size();
         }
 
-        /** By how much the last span goes beyond what the rule puts down to chance: not above 0. */
+        /** Counts a request that comes now; returns by how many the last window exceeds the budget of the guarantee
+            with a margin for chance. Has to be at most 0. */
         double beyond(long now) {
             came.add(now);
             while (came.peek() <= now - RULES.overloadWindow()) {
@@ -72,9 +75,10 @@
         }
     }
 
+    /** An attempt that is due to be written to a host, or to end there. */
     private record Due(long at, Gateway gateway, Gateway.Sent sent, Machine machine, boolean writes) { }
 
-    /** A fleet under traffic that is quiet, then a burst; the last host starts anew in the quiet. */
+    /** A fleet with little traffic, then a burst; the last host restarts before the burst. */
     private static final class Fleet {
         private final List<Gateway> gateways = new ArrayList<>();
         private final List<Machine> machines = new ArrayList<>();
@@ -84,9 +88,10 @@
         private final int hosts;
         private final Kind kind;
         private final WeightMode weights;
-        private double beyond = Double.NEGATIVE_INFINITY;  // the most that a span held over the budget
-        private int sent;  // to the cold host
-        private double may;  // of what a warm one served, the part that a cold one can do
+        private double beyond = Double.NEGATIVE_INFINITY;
+        private int sent;
+        /** Requests that the cold host could have served: its warm fraction of what a warm host served meanwhile. */
+        private double may;
 
         Fleet(int size, int hosts, double rate, Kind kind, WeightMode weights) {
             this.size = size;
@@ -117,7 +122,7 @@
                     .toArray(Host[]::new);
         }
 
-        /** Requests a second, of all, as a part of what the hosts can do. */
+        /** Runs the fleet; loads are fractions of what all hosts can serve. */
         private void play(double quiet, double burst) {
             double capacity = machines.stream().mapToDouble(m -> m.rate).sum();
             for (long now = SECOND; now < END; now += STEP) {
@@ -139,7 +144,7 @@
                     double mean = rate * (kind != Kind.UNEQUAL ? 1 : i % 5 == 0 ? 3 : 0.5) * STEP / 1e6;
                     for (double left = exponential(); left < mean; left += exponential()) {
                         int before = gateway.sent.size();
-                        gateway.request(random.nextLong());  // new, or they would stay where they were
+                        gateway.request(random.nextLong());  // new keys, as those with a session stay at their host
                         took(gateway, before);
                     }
                 }
@@ -175,7 +180,7 @@
                 Gateway gateway = next.gateway;
                 int before = gateway.sent.size();
                 if (!gateways.contains(gateway)) {
-                    continue;  // it has ended
+                    continue;  // this gateway was replaced
                 }
                 if (!next.writes) {
                     boolean inTime = next.at - next.sent.at() < next.sent.timeout();
@@ -198,10 +203,11 @@
         }
     }
 
-    /** Guards against a host that falls under what is no crowd at any one gateway: a burst after quiet, in which each has
-        saved up a part, also where some get several times the mean, most start anew in its midst, or connections come up
-        late together. And against one that stays idle for that: where lists tell loads, and traffic goes up to what warm
-        hosts can do, it gets at least half of what a warm one serves, by the part that it can have. */
+    /** Guards against a cold host that is overloaded by many gateways which each send it little: in a burst after
+        little traffic, during which each has saved up budget, also where some gateways get several times the mean, most
+        restart in the burst, or connections open late together. Also guards against a cold host that stays idle: where
+        lists carry loads and traffic is up to the capacity of warm hosts, it gets at least half of its warm fraction of
+        what a warm host serves. */
     @ParameterizedTest
     @CsvSource({"1, 1, 10", "5, 1, 10", "30, 1, 10", "120, 1, 10", "1, 3, 10", "5, 3, 10", "30, 3, 10", "120, 3, 10",
         "5, 8, 4", "30, 8, 4"})
@@ -211,9 +217,9 @@
                 for (double rate : new double[] {10, 80}) {
                     Fleet fleet = new Fleet(gateways, hosts, rate, kind, weights);
                     fleet.play(0.3, burst);
-                    String told = kind + " " + weights + ", " + rate + " a second and host: ";
+                    String told = kind + " " + weights + ", " + rate + " requests a second and host: ";
                     assertTrue(fleet.sent > 0, told + "nothing sent to the cold host");
-                    assertTrue(fleet.beyond <= 0, told + "sent beyond the budget " + fleet.beyond);
+                    assertTrue(fleet.beyond <= 0, told + "requests over the budget: " + fleet.beyond);
                     if (kind == Kind.PLAIN && weights == WeightMode.LIVE && burst <= 1) {
                         assertTrue(2 * fleet.sent >= fleet.may, told + "sent " + fleet.sent + " of " + fleet.may);
                     }
--- a/src/test/java/mastdrift/ColdHostTest.java
+++ b/src/test/java/mastdrift/ColdHostTest.java
@@ -6,10 +6,11 @@
 import mastdrift.Balancer.Outcome;
 import org.junit.jupiter.api.Test;
 
-/** Rule 4: a cold host is never pushed over. */
+/** The guarantee for cold hosts at one gateway: a host that has just started is not overloaded. */
 class ColdHostTest {
 
-    /** Warm hosts are sent far more than they serve; the newcomer's part must follow what they serve. */
+    /** Guards against a cold host that is overloaded along with the warm ones: those are sent far more than they
+        serve. */
     @Test
     void coldHostGetsItsPartOfWhatWarmOnesServeNotOfWhatTheyAreSent() {
         Gateway gateway = new Gateway().start(4);
@@ -18,11 +19,12 @@
         int before = gateway.sent.size();
         overload(gateway, 400);
         long cold = gateway.sent.stream().skip(before).filter(s -> s.address().equals("h9")).count();
-        // 2 s at 10 served a second and host, 0.2 to 0.36 warm, no more than doubled by saved credit
+        // 2 s at 10 requests served by each host a second, warm fraction 0.2 to 0.36, at most doubled by saved budget
         assertTrue(cold > 0 && cold <= 10, "sent to the cold host: " + cold);
     }
 
-    /** A warm fleet's rate is a guess for a cold host: while it answers nothing, it gets nothing more. */
+    /** Guards against more requests for a cold host that answers none: the rate of warm hosts is only a guess for
+        it. */
     @Test
     void coldHostWhoseClientsGiveUpIsNotSentMore() {
         Gateway gateway = new Gateway().start(2);
@@ -44,7 +46,7 @@
         assertTrue(cold > 0 && cold <= 3, "sent to the silent cold host: " + cold);
     }
 
-    /** 200 requests a second, of which a fifth is served and the rest given up by their clients. */
+    /** 200 requests a second, of which a fifth is served; the clients of the others leave. */
     private static void overload(Gateway gateway, int requests) {
         for (int i = 0; i < requests; i++) {
             int before = gateway.sent.size();
@@ -58,8 +60,8 @@
         }
     }
 
-    /** Guards against sessions that crowd on the hosts that a release has not reached yet: a host that is known to
-        be warm draws its share from the first request on, though it has started lately. */
+    /** Guards against sessions that gather on the hosts which a release has not restarted yet: a host that is warm gets
+        its full share from the first request on, though it is new to the gateway. */
     @Test
     void hostsThatAreWarmAgainDrawTheirShareAtOnce() {
         Gateway gateway = new Gateway().start(0);
@@ -71,6 +73,6 @@
             gateway.request(10_000L + i);
         }
         long first = gateway.sent.stream().filter(s -> s.address().equals("h0")).count();
-        assertTrue(first < 40, first + " of " + gateway.sent.size() + " on the host that did not start anew");
+        assertTrue(first < 40, first + " of " + gateway.sent.size() + " on the host that was not restarted");
     }
 }
--- a/src/test/java/mastdrift/DrawTest.java
+++ b/src/test/java/mastdrift/DrawTest.java
@@ -13,16 +13,16 @@
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
 
-/** The draw by shares. */
+/** The choice of a server by shares and keys. */
 class DrawTest {
 
-    /** Two gateways whose lists are in another order must still agree where a key goes. */
+    /** Guards against gateways that send a key to different servers because their lists are ordered differently. */
     @Test
     void orderOfTheListDoesNotMatter() {
         assertEquals(placed(hosts(40), 300), placed(reversed(hosts(40)), 300));
     }
 
-    /** A host that leaves takes its keys with it and moves few others. */
+    /** Guards against a removed host that moves the keys of other hosts too. */
     @Test
     void oneHostLessMovesFewKeysOfOthers() {
         Map<Long, String> all = placed(hosts(33), 1000);
@@ -32,6 +32,7 @@
         assertTrue(moved < 80, "moved " + moved);
     }
 
+    /** Guards against uneven parts in a small fleet, and against requests for which no server is drawn. */
     @Test
     void equalSharesGetEqualPartsAndNoRequestMissesASmallFleet() {
         Map<String, Long> parts = placed(hosts(3), 3000).values().stream()
@@ -64,7 +65,8 @@
         return gateway.sent.stream().collect(Collectors.toMap(s -> s.id() - 1, Gateway.Sent::address));
     }
 
-    /** Half of a quiet gateway's requests carry one key: no crowd is ever held, and still it must be spread. */
+    /** Guards against a popular key that overloads its server: half of the requests have it, though at a quiet gateway
+        few are in flight at any time. */
     @Test
     void aPopularKeyIsSpreadThoughNoneOfManyGatewaysHoldsACrowd() {
         Gateway gateway = new Gateway().start(20);
@@ -78,7 +80,7 @@
         assertTrue(most < 100, "to one server " + most + " of 400");
     }
 
-    /** Crossing zones costs: most goes to the gateway's own zone, and the other still gets its part. */
+    /** Guards against needless traffic between zones, and against an own zone that gets everything. */
     @Test
     void theOwnZoneGetsMoreThanAnother() {
         Gateway gateway = new Gateway().start(20);
--- a/src/test/java/mastdrift/EdgeTest.java
+++ b/src/test/java/mastdrift/EdgeTest.java
@@ -17,9 +17,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Late, repeated and odd events; settings at their edges. */
+/** Late, repeated and unknown events; settings at their limits. */
 class EdgeTest {
 
+    /** Guards against errors and actions for events that no longer apply. */
     @Test
     void lateRepeatedAndUnknownEventsChangeNothing() {
         Gateway gateway = new Gateway().start(3);
@@ -39,7 +40,7 @@
         assertTrue(gateway.refused.isEmpty() && gateway.failed.isEmpty() && gateway.cancelled.isEmpty());
     }
 
-    /** Outcomes repeated while the request is held must not count as failures of their own. */
+    /** Guards against one failure that counts many times when its outcome is reported again for an open request. */
     @Test
     void aRepeatedOutcomeIsCountedOnce() {
         Gateway gateway = new Gateway().start(3);
@@ -55,6 +56,7 @@
         assertTrue(part > 30, "sent " + part);
     }
 
+    /** Guards against exceptions for an empty list, and against two servers for a host that is listed twice. */
     @Test
     void anEmptyListRefusesAndARepeatedEntryIsOneHost() {
         Gateway gateway = new Gateway().start(0);
@@ -68,6 +70,7 @@
         assertEquals(2, gateway.refused.size());
     }
 
+    /** Guards against requests that are mixed up because their class or id is wrong. */
     @Test
     void anUnknownClassAndARepeatedIdAreNamed() {
         Gateway gateway = new Gateway().start(2);
@@ -78,11 +81,11 @@
                 new Balancer.Request(send.id(), "read", null, 1L, 1000)));
     }
 
-    /** A registry that is away for minutes fails call after call; the module must go on asking. */
+    /** Guards against a backoff that overflows and ends the list requests when the registry is away for minutes. */
     @Test
     void aVeryLongRegistryOutageNeverEndsTheAsking() {
         Gateway gateway = new Gateway();
-        gateway.mustAskIn = 10_000_008;  // an eighth of it is odd: a shifted span doesn't overflow to zero
+        gateway.mustAskIn = 10_000_008;  // an eighth of it is odd, so that a shifted delay doesn't overflow to zero
         gateway.start(2);
         for (int i = 0; i < 200; i++) {
             gateway.advance(20_000_000);
@@ -93,9 +96,9 @@
         }
     }
 
-    /** Guards against a fleet that calls in step, twice a second each, while a registry that all share turns callers away:
-        pauses grow, differ from one gateway to the next, and end in time to hear of a drain: a change counts as told 6 s
-        after the registry could be reached, and a call may take 4 s. */
+    /** Guards against gateways that send list requests at the same times, twice a second each, while the registry
+        refuses them: pauses grow and differ between gateways. They stay short enough to learn of a drain: a change
+        counts as known 6 s after the registry could be reached, and a list request may take 4 s. */
     @Test
     void callsThatAreRefusedComeInGrowingPausesOfTheirOwn() {
         Set<Long> firsts = new HashSet<>();
@@ -106,13 +109,13 @@
             firsts.add(pauses.get(0) + pauses.get(1) + pauses.get(2));
             assertTrue(pauses.stream().allMatch(pause -> pause <= 2_000_000), "paused " + pauses);
             assertTrue(pauses.get(pauses.size() - 1) >= 1_000_000, "paused " + pauses);
-            assertTrue(pauses.size() <= 20, "calls " + pauses);
+            assertTrue(pauses.size() <= 20, "list requests: " + pauses);
         }
-        assertTrue(firsts.size() >= 15, "moments of the third call " + firsts);
+        assertTrue(firsts.size() >= 15, "times of the third request: " + firsts);
     }
 
-    /** Guards against a drain that is heard of too late since calls had failed before: what an agent has counts as told at
-        once where lists are pushed, whatever became of earlier calls, and it is asked at no cost. */
+    /** Guards against learning of a drain too late because list requests have failed before: where lists are pushed, a
+        change counts as known as soon as the registry can be reached, and list requests cost nothing. */
     @ParameterizedTest
     @ValueSource(longs = {250_000, 800_000, 1_500_000, 2_500_000})
     void pausesLeaveTimeToHeedADrainWhereListsArePushed(long grace) {
@@ -123,12 +126,12 @@
             List<Long> pauses = refuse(gateway, g, 20_000_000);
             sums.add(pauses.get(0) + pauses.get(1) + pauses.get(2));
             assertTrue(pauses.stream().allMatch(pause -> pause <= grace / 2 + 1_000), "paused " + pauses);
-            assertTrue(pauses.size() <= 20_000_000 / (grace / 4) + 8, "calls " + pauses.size());
+            assertTrue(pauses.size() <= 20_000_000 / (grace / 4) + 8, "list requests: " + pauses.size());
         }
-        assertTrue(sums.size() >= 15, "moments of the third call " + sums);
+        assertTrue(sums.size() >= 15, "times of the third request: " + sums);
     }
 
-    /** Each call fails at once, for so long: the pauses before the next. */
+    /** Fails each list request at once for this time; returns the pauses before the next ones. */
     private static List<Long> refuse(Gateway gateway, long seed, long span) {
         gateway.seed = seed;
         gateway.start(2);
@@ -145,8 +148,8 @@
         return pauses;
     }
 
-    /** Guards against news that come later than 6 s after the registry could be reached: a call that was given up after
-        the 4 s that it may take is followed by the next one soon, however many have failed. */
+    /** Guards against a list that comes later than 6 s after the registry could be reached: after a list request that
+        timed out after its 4 s, the next one follows soon, however many have failed. */
     @ParameterizedTest
     @ValueSource(longs = {0, 1_000_000, 10_000_000, 60_000_000})
     void aCallThatWasGivenUpIsFollowedSoon(long mustAskIn) {
@@ -167,8 +170,8 @@
         }
     }
 
-    /** Guards against a broken watch that is opened anew so late that what it missed counts as told before: 3 s of silence
-        and the pause have to leave room in the 6 s for the call itself, and a refresh must not come on top. */
+    /** Guards against a broken watch that is reopened too late for the changes it missed: 3 s of silence and the pause
+        have to leave time within the 6 s for the list request itself, and the wait for a refresh must not be added. */
     @ParameterizedTest
     @ValueSource(longs = {0, 10_000_000})
     void aWatchThatBrokeIsOpenedAnewSoon(long mustAskIn) {
@@ -189,9 +192,10 @@
         }
         long most = mustAskIn == 0 ? 250_000 : 1_250_000;
         assertTrue(pauses.stream().allMatch(pause -> pause <= most + 2_000), "pauses " + pauses);
-        assertTrue(pauses.size() >= 12, "gateways call in step: " + pauses);
+        assertTrue(pauses.size() >= 12, "gateways send requests at the same times: " + pauses);
     }
 
+    /** Guards against a start with settings that can't work, and against a message that doesn't name the setting. */
     @Test
     void impossibleSettingsAreNamed() {
         Gateway gateway = new Gateway();
@@ -203,6 +207,7 @@
         assertThrows(IllegalArgumentException.class, () -> none.start(1));
     }
 
+    /** Guards against actions that the site doesn't allow. */
     @Test
     void withNothingAllowedOneHostStillServes() {
         Gateway gateway = new Gateway();
--- a/src/test/java/mastdrift/EmbeddingTest.java
+++ b/src/test/java/mastdrift/EmbeddingTest.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The README's embedding example, word for word, compiles and runs. */
+/** The example in README.md that embeds the balancer compiles and runs as it is printed there. */
 class EmbeddingTest {
 
     @Test
@@ -23,8 +23,8 @@
         long now = 1_000_000;
 
         Balancer balancer = new HeadroomBalancer();
-        balancer.start(now, settings, actions);              // once, first
-        balancer.hostListReceived(now, ListUpdateType.CACHED, knownHosts);    // in the same moment
+        balancer.start(now, settings, actions);              // once, before anything else
+        balancer.hostListReceived(now, ListUpdateType.CACHED, knownHosts);    // at the same time
         balancer.requestReceived(now, new Request(7, "read", null, 4711L, 800_000));
 
         assertEquals(1, actions.sent.size());
--- a/src/test/java/mastdrift/FailingServerTest.java
+++ b/src/test/java/mastdrift/FailingServerTest.java
@@ -8,10 +8,10 @@
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
 
-/** Which failures push a server out of S*, and which don't. */
+/** Which failures exclude a server from the eligible set (S*), and which don't. */
 class FailingServerTest {
 
-    /** With a handful of samples one failure is a fifth of attempts; it must not cost a server its share. */
+    /** Guards against a server that loses its share by one failure, which is a fifth of its few attempts. */
     @Test
     void oneFailureAmongFewAttemptsDoesNotPushAServerOut() {
         Gateway gateway = new Gateway().start(4);
@@ -22,6 +22,7 @@
         assertTrue(part(gateway, unlucky) > 0.1);
     }
 
+    /** Guards against a server that keeps its share though half of its attempts fail. */
     @Test
     void aServerThatFailsHalfOfItsAttemptsLeaves() {
         Gateway gateway = new Gateway().start(4);
@@ -29,7 +30,7 @@
         assertTrue(part(gateway, "h1") < 0.03);
     }
 
-    /** If all fail alike, S* must not shrink to the lucky few, which would be crushed. */
+    /** Guards against an S* that shrinks to a few servers, which are then overloaded, when all servers fail alike. */
     @Test
     void failuresOfTheWholeFleetPushNobodyOut() {
         Gateway gateway = new Gateway().start(8);
@@ -40,7 +41,8 @@
         assertTrue(sends.values().stream().allMatch(n -> n > 10), sends.toString());
     }
 
-    /** In an overload all fail a part; one that fails everything must not draw traffic for having no latencies. */
+    /** Guards against a server that fails everything and gets traffic because it has no latencies, while in an overload
+        all servers fail some attempts. */
     @Test
     void aServerThatTurnsAllAwayIsNoBlackHoleWhenOthersFailToo() {
         Gateway gateway = new Gateway().start(8);
@@ -60,7 +62,7 @@
         assertTrue(toBlackHole < 28, "sent to the black hole: " + toBlackHole + " of 300");
     }
 
-    /** Sends requests; every {@code nth} attempt at a host with that prefix ends in a time-out. */
+    /** Sends requests; every {@code nth} attempt at a host whose address has that prefix times out. */
     private static void failing(Gateway gateway, String prefix, int requests, int nth) {
         int[] turn = new int[1];
         for (int i = 0; i < requests; i++) {
@@ -78,7 +80,7 @@
         }
     }
 
-    /** The part of the next 200 requests that goes to the host. */
+    /** The fraction of the next 200 requests that goes to the host. */
     private static double part(Gateway gateway, String address) {
         int before = gateway.sent.size();
         gateway.serve(200, 5_000, 5_000);
--- a/src/test/java/mastdrift/FleetTest.java
+++ b/src/test/java/mastdrift/FleetTest.java
@@ -14,24 +14,24 @@
 import mastdrift.Balancer.WeightMode;
 import org.junit.jupiter.api.Test;
 
-/** What many gateways do together, each with seed and keys of its own and in simulated time. Their zone is z0. */
+/** What many gateways do together in simulated time, each with its own seed and keys. Their zone is z0. */
 class FleetTest {
 
     private static final int HOSTS = 60;
 
-    /** Guards against a zone whose gateways choke its hosts while those of the next zone idle: each gateway sends few
-        requests to any host and sees no crowd, but the list tells what all of them hold. */
+    /** Guards against gateways that overload their zone's hosts while those of another zone are idle: each gateway
+        sends few requests to any host and sees no load, but the list tells the load by all gateways. */
     @Test
     void aCrowdedZonesGatewaysGoToTheIdleOne() {
         List<Gateway> fleet = fleet(5);
-        assertTrue(partAway(fleet, 0, 0) < 0.35, "away while both zones hold nothing: " + partAway(fleet, 0, 0));
+        assertTrue(partAway(fleet, 0, 0) < 0.35, "to the other zone while both are idle: " + partAway(fleet, 0, 0));
         double away = partAway(fleet, 9, 0.5);
-        assertTrue(away > 0.5, "away from the crowded zone: " + away);
-        assertTrue(partAway(fleet, 4, 4) < 0.35, "away while both are alike crowded");
+        assertTrue(away > 0.5, "to the other zone while the own is overloaded: " + away);
+        assertTrue(partAway(fleet, 4, 4) < 0.35, "too much to the other zone while both have the same load");
     }
 
-    /** Guards against hosts that choke before any gateway refuses: each sees a few of a host's answers, quick ones here,
-        and learns of the crowd that all make together from the list. */
+    /** Guards against hosts that are overloaded before any gateway refuses: each sees a few of a host's answers, here
+        quick ones, and learns of the load by all gateways from the list. */
     @Test
     void hostsThatTheListTellsToBeCrowdedAreRefusedBeforeOwnAnswersTellIt() {
         int refused = 0;
@@ -46,26 +46,26 @@
                 }
                 gateway.serve(1, 40_000, 40_000);
             }
-            assertTrue(calm == 0, "refused while no host is crowded: " + calm);
+            assertTrue(calm == 0, "refused while no host is overloaded: " + calm);
             refused += gateway.refused.size();
         }
-        assertTrue(refused > 50, "refused of 1000 with ten of 60 hosts crowded: " + refused);
+        assertTrue(refused > 50, "refused of 1000 with ten of 60 hosts overloaded: " + refused);
     }
 
-    /** Guards against a release after which all gateways start among cold hosts: none has served anything, so none knew
-        a rate, and all left these hosts idle. What all send together keeps to the budget: with one served in 25 ms, a
-        host of one core does 40 a second when warm. */
+    /** Guards against cold hosts that stay idle when all gateways start along with them, as in a release: no gateway
+        has seen an answer and knows a rate. What all gateways send stays within the budget: a host with one core that
+        takes 25 ms for a request serves 40 a second when warm. */
     @Test
     void aFleetThatStartsAmongColdHostsUsesThemWithinTheirBudget() {
         List<Gateway> fleet = fleet(14);
         int most = mostToOneColdHostInTwoSeconds(fleet, 0);
-        double capacity = 40 * (0.2 + 0.8 * 0.3);  // a second, after 3 s of the 10 s that warming takes
+        double capacity = 40 * (0.2 + 0.8 * 0.3);  // requests a second, 3 s into the warm-up time of 10 s
         assertTrue(most > 1, "sent to a cold host: " + most);
         assertTrue(most <= 3 * 2 * capacity, "sent to a cold host in 2 s: " + most);
     }
 
-    /** Guards against cold hosts that stay idle beside choked ones: what the list tells of them says when they can take
-        more, and when they can't. */
+    /** Guards against cold hosts that stay idle beside overloaded ones: the loads in the list say when a cold host can
+        take more requests, and when it can't. */
     @Test
     void coldHostsThatIdleAreSentMoreAndBusyOnesAreNot() {
         int idle = mostToOneColdHostInTwoSeconds(fleet(14), 0);
@@ -73,8 +73,8 @@
         assertTrue(idle > 2 * busy, "idle " + idle + " busy " + busy);
     }
 
-    /** Five seconds among hosts that have just started; of the last two of them, the most that gateways sent to one host
-        that holds this load. Each gateway takes 40 requests a second, served within 25 ms. */
+    /** Runs five seconds with hosts that have just started and have this load. Returns the most requests that all
+        gateways sent to one host in the last two seconds. Each gateway gets 40 requests a second, served in 25 ms. */
     private static int mostToOneColdHostInTwoSeconds(List<Gateway> fleet, double load) {
         Map<String, Integer> sent = new HashMap<>();
         for (Gateway gateway : fleet) {
@@ -92,8 +92,8 @@
         return sent.values().stream().mapToInt(n -> n).max().orElse(0);
     }
 
-    /** Guards against hosts or gateways that a cap leaves out, and against parts that grow apart with their number: as many
-        of each as sites may list. */
+    /** Guards against hosts or gateways left out by a limit on their number, and against parts that get more uneven
+        with that number: as many of each as a site may list. */
     @Test
     void aThousandHostsGetTheirPartsFromAThousandGateways() {
         int[] parts = new int[1024];
@@ -126,8 +126,9 @@
         return fleet;
     }
 
-    /** Ten seconds of lists that tell these loads, twice a second, and requests that are served alike in both zones:
-        the part that went to z1 in the second half. One host of each zone holds nothing, as its weight tells. */
+    /** Runs ten seconds with lists that carry these loads twice a second, and requests that both zones serve alike.
+        Returns the fraction that went to z1 in the second half. One host of each zone is idle, which its weight
+        shows. */
     private static double partAway(List<Gateway> fleet, double homeLoad, double awayLoad) {
         int away = 0;
         int all = 0;
--- a/src/test/java/mastdrift/Gateway.java
+++ b/src/test/java/mastdrift/Gateway.java
@@ -28,13 +28,14 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Drives one module by hand and records what it asks for; models no server and no latency. */
+/** A gateway without network: gives events to one balancer on a simulated clock and records the actions that it asks
+    for. Simulates no host and no latency; tests say when attempts end. */
 final class Gateway implements Balancer.Actions {
 
     static final LoadReport NO_REPORT =
             new LoadReport(Double.NaN, Double.NaN, Double.NaN, Double.NaN, Double.NaN, Double.NaN);
 
-    /** One send. */
+    /** One attempt that the balancer sent. */
     record Sent(long id, int attempt, String address, long timeout, long at) { }
 
     final Balancer module = new HeadroomBalancer();
@@ -52,7 +53,7 @@
     private final TreeMap<Long, List<String>> timers = new TreeMap<>();
     private long nextId = 1;
 
-    // ---- settings, changed before start
+    // ---- Settings; tests change them before start
 
     Idempotency repeat = Idempotency.SAFE;
     DedupScope group = DedupScope.ALL;
@@ -64,7 +65,8 @@
     boolean retryAfter = true;
     int gateways = 1;
     int me;
-    Guarantees rules;  // or those of below
+    /** Guarantees, or null for the defaults. */
+    Guarantees rules;
     long seed = 42;
     long mustAskIn;
     WeightMode weights = WeightMode.OFF;
@@ -86,6 +88,7 @@
                 1_000, seed);
     }
 
+    /** Starts the balancer with this many hosts in service, none of them cold. */
     Gateway start(int hosts) {
         module.start(now, settings(), this);
         List<Host> list = new ArrayList<>();
@@ -96,7 +99,7 @@
         return this;
     }
 
-    /** Host i: two zones in turn, two hosts of a zone to a cell. */
+    /** Host number i: zones z0 and z1 in turn, two hosts of a zone in each cell. */
     static Host host(int i, HostState health, long born) {
         return new Host("h" + i, "z" + i % 2, i % 2 * 1000 + i / 4, "std", 1, health, born);
     }
@@ -119,11 +122,12 @@
         return id;
     }
 
-    /** The newest send. */
+    /** The latest attempt. */
     Sent last() {
         return sent.get(sent.size() - 1);
     }
 
+    /** The attempts of one request. */
     List<Sent> sends(long id) {
         return sent.stream().filter(s -> s.id() == id).toList();
     }
@@ -150,7 +154,7 @@
         now = until;
     }
 
-    /** Serves {@code count} requests of fresh keys, one each {@code gap}, each within {@code elapsed}. */
+    /** Serves {@code count} requests with new keys, one every {@code gap}, each of them in {@code elapsed}. */
     void serve(int count, long gap, long elapsed) {
         for (int i = 0; i < count; i++) {
             int before = sent.size();
@@ -162,11 +166,12 @@
         }
     }
 
+    /** Whether the balancer itself gave the final answer. */
     boolean answered(long id) {
         return refused.contains("" + id) || failed.contains("" + id);
     }
 
-    // ---- what the module asks for
+    // ---- Actions of the balancer
 
     @Override
     public void send(long id, String address, long timeout) {
--- a/src/test/java/mastdrift/IdleConnectionTest.java
+++ b/src/test/java/mastdrift/IdleConnectionTest.java
@@ -7,13 +7,14 @@
 import mastdrift.Balancer.Outcome;
 import org.junit.jupiter.api.Test;
 
-/** Connections that are lost unseen once they have been idle for a while. */
+/** Connections that are lost unnoticed once they have been idle for a while. */
 class IdleConnectionTest {
 
     private final Gateway gateway = new Gateway().start(20);
     private final Map<String, Long> usedAt = new HashMap<>();
 
-    /** One request a pause; what is sent on a connection idle for over a second is lost. */
+    /** Sends a request after each pause; what is sent on a connection idle for over a second ends with the given
+        outcome. Returns the number of losses. */
     private int pauses(int times, long pause, Outcome past) {
         int lost = 0;
         for (int i = 0; i < times; i++) {
@@ -30,22 +31,25 @@
         return lost;
     }
 
+    /** Guards against requests that are lost again and again on connections that a firewall has dropped. */
     @Test
     void connectionsIdleForLongerThanLossesTellAreClosedBeforeASend() {
         assertTrue(pauses(40, 100_000, Outcome.DROPPED) > 1);
         assertTrue(pauses(100, 100_000, Outcome.DROPPED) < 10);
         gateway.closed.clear();
         pauses(20, 1_000, Outcome.DROPPED);
-        assertTrue(gateway.closed.size() < 20, "what is not idle stays open");
+        assertTrue(gateway.closed.size() < 20, "busy connections were closed");
     }
 
+    /** Guards against losses that aren't counted because the request expires instead of failing at once. */
     @Test
     void lossesWithoutAnAnswerTellTheSame() {
         assertTrue(pauses(40, 100_000, Outcome.EXPIRED) > 1);
         assertTrue(pauses(100, 100_000, Outcome.EXPIRED) < 10);
     }
 
-    /** Where busy connections lose as much, idling is not the cause: few of the 200 sends may close one. */
+    /** Guards against needless handshakes: where busy connections lose as much, idleness is not the cause. Few of the
+        200 sends may close a connection. */
     @Test
     void lossesThatHitBusyConnectionsTooCloseNone() {
         for (int i = 0; i < 100; i++) {
--- a/src/test/java/mastdrift/KindSizeTest.java
+++ b/src/test/java/mastdrift/KindSizeTest.java
@@ -10,20 +10,20 @@
 import mastdrift.Balancer.Outcome;
 import org.junit.jupiter.api.Test;
 
-/** Kinds of machines whose size nobody tells. */
+/** Host models whose size neither settings nor lists tell. */
 class KindSizeTest {
 
-    /** Small machines report twice the use of cores that large ones do: they must get less. */
+    /** Guards against small hosts that get as much as large ones, though they report twice the CPU utilization. */
     @Test
     void kindsThatReportMoreUseOfCoresGetLess() {
         Gateway gateway = new Gateway().start(0);
         gateway.list(ListUpdateType.FULL, host(0, "small"), host(1, "large"), host(2, "small"), host(3, "large"));
         long small = toSmall(gateway, true);
-        assertTrue(small < 300, "to the small ones " + small + " of 1000");
+        assertTrue(small < 300, "sent to small hosts: " + small + " of 1000");
     }
 
-    /** Guards against sizes that go on turning while nothing is reported: with reports on probes alone, one chance
-        difference early in the day had a kind of host get ten times another's share, and an idle kind beside it. */
+    /** Guards against sizes that change further without new reports: where reports come with probes only, one early
+        chance difference gave a host model ten times the share of another, which stayed idle. */
     @Test
     void anOldReportDoesNotTurnSizesFurther() {
         Gateway gateway = new Gateway().start(0);
@@ -32,10 +32,10 @@
             gateway.module.probeEnded(gateway.now, "h" + i, Outcome.DELIVERED, 1_000, cpu(i % 2 == 0 ? 0.8 : 0.4));
         }
         long small = toSmall(gateway, false);
-        assertTrue(small > 300, "to the small ones " + small + " of 1000");
+        assertTrue(small > 300, "sent to small hosts: " + small + " of 1000");
     }
 
-    /** Of 2,000 requests, 10 ms apart, how many of the latter half went to the small ones. */
+    /** Sends 2,000 requests, 10 ms apart; returns how many of the second half went to small hosts. */
     private static long toSmall(Gateway gateway, boolean reported) {
         int before = 0;
         for (int i = 0; i < 2000; i++) {
--- a/src/test/java/mastdrift/ModuleModelTest.java
+++ b/src/test/java/mastdrift/ModuleModelTest.java
@@ -19,9 +19,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Tries every order of events up to a depth on the module, with three hosts and up to two requests, and holds each step
-    against the rules: one final answer, no repeat that may do harm, no send past a drain. Deeper by
-    {@code -DargLine=-Dmodel.depth=6}. */
+/** Tries every sequence of events up to a depth on the balancer, with three hosts and up to two requests, and checks
+    each step against the guarantees: one final answer, no repeat that may do harm, no send to a draining host. For a
+    greater depth: {@code -DargLine=-Dmodel.depth=6}. */
 class ModuleModelTest {
 
     private static final int DEPTH = Integer.getInteger("model.depth", 4);
@@ -30,13 +30,15 @@
     private static final long LEFT = 1_000_000;
     private static final long WINDOW = 700_000;
 
-    /** What may happen next; outcomes are the oldest attempt's that is out. */
+    /** Events that may happen next. Outcomes are those of the oldest attempt in flight. The first three are a request
+        of that idempotency, in the order of {@link Idempotency}. */
     private enum Event { SAFE, KEYED, UNSAFE, SERVED, ERROR, SHED, DIAL_FAILED, DROPPED, EXPIRED, DEPARTS, LEAVES, GOES, RETURNS,
         A_MOMENT, A_REFRESH }
 
-    /** How the module is lied to, to see that the check sees anything: none of it is true of the real gateway. */
+    /** False reports to the balancer that the checks have to detect. The real gateway makes none of them. */
     private enum Lie { NONE, ERRORS_NEVER_RAN, DRAINS_UNTOLD, EXPIRIES_UNTOLD, SERVED_TWICE }
 
+    /** What the test knows about one request. */
     private static final class Told {
         private final Idempotency repeat;
         private final List<Gateway.Sent> sends = new ArrayList<>();
@@ -51,7 +53,7 @@
         }
     }
 
-    /** One order of events, from the start on. */
+    /** One sequence of events from the start. */
     private static final class Case {
 
         private final Gateway gateway = new Gateway();
@@ -78,14 +80,14 @@
             fault = fault == null ? what : fault;
         }
 
-        /** False where it can't happen now. */
+        /** Applies an event; false if it can't happen now. */
         boolean happens(Event event) {
             switch (event) {
                 case SAFE, KEYED, UNSAFE -> {
                     if (requests.size() == REQUESTS_MOST) {
                         return false;
                     }
-                    // Before the module hears: it acts within the call. Ids of the harness count from 1.
+                    // Recorded before the balancer is called, which acts within the call. The harness counts ids from 1.
                     requests.put(requests.size() + 1L, new Told(Idempotency.values()[event.ordinal()], gateway.now + LEFT));
                     gateway.request(event.name().toLowerCase(java.util.Locale.ROOT), null, 7L, LEFT);
                 }
@@ -148,7 +150,7 @@
                     Gateway.NO_REPORT);
         }
 
-        /** The gateway ends attempts with the time of their request. */
+        /** Ends attempts whose request is out of time, as the gateway does. */
         private void expire() {
             for (Gateway.Sent send : List.copyOf(out)) {
                 if (gateway.now >= requests.get(send.id()).ends) {
@@ -157,7 +159,7 @@
             }
         }
 
-        /** What the module has done since the last look. */
+        /** Checks the actions of the balancer since the last check. */
         private void look() {
             while (seen < gateway.sent.size()) {
                 Gateway.Sent send = gateway.sent.get(seen++);
@@ -194,11 +196,11 @@
 
         private void sends(Gateway.Sent send, Told told) {
             if (told.answers > 0 || told.departed) {
-                fault("sent on after its end");
+                fault("sent after its end");
             }
             Long since = drained.get(send.address());
             if (since != null && gateway.now - since > GRACE) {
-                fault("sent past a drain");
+                fault("sent to a draining host");
             }
             for (Gateway.Sent earlier : told.sends) {
                 if (told.repeat == Idempotency.SAFE || !mayHaveRun(told, earlier)) {
@@ -216,7 +218,8 @@
             return "z" + Integer.parseInt(send.address().substring(1)) % 2;
         }
 
-        /** After the last event all time runs out, and every request has one answer. */
+        /** Lets all time run out after the last event, when every request must have one answer. Returns the first
+            violation, or null. */
         String close() {
             gateway.advance(LEFT + 1);
             expire();
@@ -234,7 +237,7 @@
         return String.join(" ", Arrays.stream(path, 0, length).map(Event::name).toList());
     }
 
-    /** All orders that begin so; returns how many there were, and puts the first fault of each kind. */
+    /** Tries all sequences that begin with this path; returns their number. Stores the first path to each violation. */
     private static int explore(Event[] path, int length, Lie lie, Map<String, String> faults) {
         Case now = new Case(lie);
         for (int i = 0; i < length; i++) {
@@ -254,7 +257,7 @@
         return count;
     }
 
-    /** Those that begin with each event side by side; each has a module of its own. */
+    /** Tries all sequences in parallel by their first event; each has a balancer of its own. */
     private static int exploreAll(int depth, Lie lie, Map<String, String> faults) {
         List<Map<String, String>> each = Arrays.stream(Event.values())
                 .<Map<String, String>>map(first -> new LinkedHashMap<>()).toList();
@@ -267,15 +270,17 @@
         return count;
     }
 
+    /** Guards against a sequence of events that breaks a guarantee. */
     @Test
     void noOrderOfEventsBreaksARule() {
         Map<String, String> faults = new LinkedHashMap<>();
         int count = exploreAll(DEPTH, Lie.NONE, faults);
         assertEquals(Map.of(), faults);
-        assertTrue(count > 10_000, "orders tried: " + count);
+        assertTrue(count > 10_000, "sequences tried: " + count);
     }
 
-    /** Guards against a check that sees nothing: a module that is lied to breaks a rule, and that is found. */
+    /** Guards against checks that detect nothing: false reports make the balancer break a guarantee, and that is
+        found. */
     @ParameterizedTest
     @EnumSource(value = Lie.class, names = "NONE", mode = EnumSource.Mode.EXCLUDE)
     void aModuleThatIsLiedToIsCaught(Lie lie) {
@@ -283,9 +288,9 @@
         exploreAll(4, lie, faults);
         String expected = switch (lie) {
             case ERRORS_NEVER_RAN -> "an unsafe request sent again";
-            case DRAINS_UNTOLD -> "sent past a drain";
+            case DRAINS_UNTOLD -> "sent to a draining host";
             case EXPIRIES_UNTOLD -> "never answered";
-            default -> "sent on after its end";
+            default -> "sent after its end";
         };
         assertTrue(faults.containsKey(expected), lie + ": " + faults);
     }
--- a/src/test/java/mastdrift/RetryTest.java
+++ b/src/test/java/mastdrift/RetryTest.java
@@ -8,7 +8,7 @@
 /** The retry budget. */
 class RetryTest {
 
-    /** Full connection tables fail every dial; retries for them must not multiply the load. */
+    /** Guards against retries that multiply the load when full connection tables make every dial fail. */
     @Test
     void failedConnectionsAreRetriedWithinTheBudgetOnly() {
         Gateway gateway = new Gateway().start(8);
@@ -24,7 +24,7 @@
         assertTrue(retries > 0 && retries <= calls * 0.1 + 20, retries + " retries");
     }
 
-    /** Where every server fails, retries must not multiply the load. */
+    /** Guards against retries that multiply the load when every server fails. */
     @Test
     void errorsAreRetriedWithinTheBudgetOnly() {
         Gateway gateway = new Gateway().start(8);
--- a/src/test/java/mastdrift/RulesTest.java
+++ b/src/test/java/mastdrift/RulesTest.java
@@ -20,7 +20,8 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Rules 1 to 3 at their edges, and under long random event sequences. */
+/** The guarantees of a single final answer, of no harmful repeat and of no send to a draining host: their limits, and
+    long random sequences of events. */
 class RulesTest {
 
     private static final List<Outcome> FAILURES = List.of(Outcome.ERROR, Outcome.SHED, Outcome.EXPIRED,
@@ -33,6 +34,7 @@
         return gateway.start(16);
     }
 
+    /** Guards against a second run of an unsafe request. */
     @ParameterizedTest
     @EnumSource(value = Outcome.class, names = "DELIVERED", mode = EnumSource.Mode.EXCLUDE)
     void anUnsafeRequestIsSentAgainOrRefusedOnlyIfItNeverRan(Outcome outcome) {
@@ -47,6 +49,7 @@
         }
     }
 
+    /** Guards against a second run of a keyed request at a host that doesn't know its key. */
     @ParameterizedTest
     @EnumSource(DedupScope.class)
     void aKeyedRequestThatMayHaveRunStaysInItsGroup(DedupScope group) {
@@ -63,6 +66,7 @@
         }
     }
 
+    /** Guards against a repeat after the hosts have forgotten the key. */
     @Test
     void theDedupWindowEndsKeyedRepeats() {
         for (long late : new long[] {-1_000, 0}) {
@@ -77,7 +81,7 @@
         }
     }
 
-    /** Guards against what is decided in time and written too late: a connection that comes up late. */
+    /** Guards against an attempt that is decided in time and written too late, as its connection opens late. */
     @Test
     void whatBoundsASendHoldsAtTheWriteToo() {
         Gateway first = gateway(Idempotency.UNSAFE, DedupScope.ALL);
@@ -85,7 +89,7 @@
         first.now += first.last().timeout() - 1;
         assertTrue(first.module.mayWrite(first.now, id, 0));
         first.now += 1;
-        assertFalse(first.module.mayWrite(first.now, id, 0));  // its time is over
+        assertFalse(first.module.mayWrite(first.now, id, 0));  // the time left is over
 
         Gateway again = gateway(Idempotency.KEYED, DedupScope.ALL);
         id = again.request("read", null, 5L, 3_000_000);
@@ -96,20 +100,21 @@
         again.now += again.window - 1_001;
         assertTrue(again.module.mayWrite(again.now, id, 1));
         again.now += 1;
-        assertFalse(again.module.mayWrite(again.now, id, 1));  // its window is over
+        assertFalse(again.module.mayWrite(again.now, id, 1));  // the deduplication window is over
 
         Gateway left = gateway(Idempotency.SAFE, DedupScope.ALL);
         id = left.request(5L);
         assertTrue(left.module.mayWrite(left.now, id, 0));
         int host = Integer.parseInt(left.last().address().substring(1));
         left.list(ListUpdateType.DELTA, Gateway.host(host, HostState.TERMINATING, 0));
-        assertFalse(left.module.mayWrite(left.now, id, 0));  // its host is drained
+        assertFalse(left.module.mayWrite(left.now, id, 0));  // the host is draining
         left.list(ListUpdateType.DELTA, Gateway.up(host, left.now));
-        assertFalse(left.module.mayWrite(left.now, id, 0));  // or has started anew
+        assertFalse(left.module.mayWrite(left.now, id, 0));  // the host has restarted
         left.module.clientLeft(left.now, id);
         assertFalse(left.module.mayWrite(left.now, id, 0));
     }
 
+    /** Guards against attempts that outlast their client's try, and against a retry after it. */
     @Test
     void theTimeOutEndsWithTheTryAndIsAnsweredAtOnce() {
         Gateway gateway = gateway(Idempotency.SAFE, DedupScope.ALL);
@@ -121,6 +126,7 @@
         assertTrue(gateway.answered(id));
     }
 
+    /** Guards against sends to hosts that are draining, gone, or missing in a full list. */
     @Test
     void aDrainingGoneOrReplacedHostGetsNothingNew() {
         Gateway gateway = gateway(Idempotency.SAFE, DedupScope.ALL);
@@ -154,7 +160,8 @@
                 || group == DedupScope.CELL && a.cell() == b.cell();
     }
 
-    /** Long random legal sequences, checked after each event by an account of their own. */
+    /** Guards against long sequences of events that break a guarantee; checked after each event by separate
+        bookkeeping. */
     @Test
     void randomSequencesKeepTheRules() {
         for (int seed = 0; seed < 60; seed++) {
@@ -162,6 +169,7 @@
         }
     }
 
+    /** Guards against state that instances share, and against random choices that don't follow the seed. */
     @Test
     void theSameEventsGiveTheSameActionsAlsoInterleaved() {
         Sequence alone = new Sequence(7);
@@ -177,7 +185,7 @@
         assertEquals(alone.gateway.failed, one.gateway.failed);
     }
 
-    /** Draws legal events; knows of each request what was sent and what became of it. */
+    /** Makes random events that a gateway may report; records what was sent for each request and how it ended. */
     private static final class Sequence {
         private final Random random;
         private final Gateway gateway = new Gateway();
--- a/src/test/java/mastdrift/SilentServerTest.java
+++ b/src/test/java/mastdrift/SilentServerTest.java
@@ -12,7 +12,7 @@
 /** Servers and zones that stop answering. Hosts with an odd number are in zone z1. */
 class SilentServerTest {
 
-    /** A lost zone must be learned from half of its servers, not from a request to each. */
+    /** Guards against a lost zone that costs one request for each of its servers. */
     @Test
     void aLostZoneIsLeftOnceHalfOfItIsKnownToBeDown() {
         Gateway gateway = new Gateway().start(120);
@@ -23,18 +23,18 @@
         assertTrue(lost < 40, lost + " sends into the lost zone");
     }
 
-    /** The retry of a request that met a dead server adds no load and must not fail for want of budget. */
+    /** Guards against retries that fail for lack of budget after a server that is down, where they add no load. */
     @Test
     void retriesFromADownServerAreFree() {
         Gateway gateway = new Gateway().start(120);
         gateway.serve(400, 5_000, 5_000);
         int refused = gateway.refused.size();
         loseZone(gateway, 600, Outcome.DIAL_FAILED);
-        int more = gateway.refused.size() - refused;  // a few go before any server is known to be down
+        int more = gateway.refused.size() - refused;  // a few before any server is known to be down
         assertTrue(more <= 3, "refused " + more);
     }
 
-    /** A host that hangs fails no connection: it must be taken for down, and so probed, by what it owes. */
+    /** Guards against a host that hangs but accepts connections, so that it is never marked down and probed. */
     @Test
     void aHangingHostIsTakenForDownBeforeItsAttemptsTimeOut() {
         Gateway gateway = new Gateway().start(4);
@@ -53,7 +53,7 @@
         assertEquals(List.of("h2"), gateway.probes);
     }
 
-    /** What is read or written slowly for seconds is no sign of silence, of a queue, or of an overload. */
+    /** Guards against long streams taken for a silent server, a queue or an overload. */
     @Test
     void streamsThatLastTakeNoServerDownAndRefuseNobody() {
         Gateway gateway = new Gateway().start(4);
@@ -77,7 +77,7 @@
         assertEquals(List.of(), gateway.refused);
     }
 
-    /** Nothing is kept of what has gone out in pieces: another host can't have it. */
+    /** Guards against a retry of a streamed request, of which the gateway keeps no copy. */
     @Test
     void aStreamThatFailsIsNotSentAgain() {
         Gateway gateway = new Gateway().start(4);
@@ -88,7 +88,7 @@
         assertTrue(gateway.answered(id));
     }
 
-    /** Remembered keys must leave a server with the failure that takes it down, not at the next refresh. */
+    /** Guards against sessions that stay at a server until the next refresh after it was marked down. */
     @Test
     void rememberedKeysLeaveADownServerAtOnce() {
         Gateway gateway = new Gateway().start(4);
@@ -109,7 +109,8 @@
         assertTrue(gateway.sent.stream().skip(before).noneMatch(s -> s.address().equals(home)));
     }
 
-    /** Probes must reach every silent host of a long list, one at a time, not the first few again and again. */
+    /** Guards against probes that reach only the first hosts of a long list, and against two probes of one host at
+        once. */
     @Test
     void probesReachAllDownHostsAndNeverTwoAtOnce() {
         Gateway gateway = new Gateway().start(40);
--- a/src/test/java/mastdrift/SizeTest.java
+++ b/src/test/java/mastdrift/SizeTest.java
@@ -8,6 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/** HeadroomBalancer stays short enough to be reviewed as a whole. */
 class SizeTest {
 
     @Test
--- a/src/test/java/mastdrift/TenantTest.java
+++ b/src/test/java/mastdrift/TenantTest.java
@@ -9,10 +9,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Fairness between tenants in an overload. */
+/** Fairness between tenants in an overload. Index 0 is the greedy tenant, 1 the quiet one. */
 class TenantTest {
 
-    /** Refused clients try again at once; those tries must not use up a quiet tenant's share. */
+    /** Guards against a quiet tenant whose quota is used up by tries of its refused clients. */
     @Test
     void theGreedyTenantIsRefusedFarMoreThanTheQuietOneThatRetries() {
         Gateway gateway = new Gateway();
@@ -39,7 +39,8 @@
         assertTrue(quiet > 0.9 && greedy < 0.7, "served: greedy " + greedy + ", quiet " + quiet);
     }
 
-    /** Of 300 gateways each has under a request a second for a tenant: who stays within that is within. */
+    /** Guards against quotas that don't count at one of 300 gateways, where a tenant has less than one request a
+        second. */
     @Test
     void aShareSplitAmongHundredsOfGatewaysStillCounts() {
         Gateway gateway = new Gateway();
@@ -65,7 +66,7 @@
         assertTrue(quiet > greedy + 0.2, "served: greedy " + greedy + ", quiet " + quiet);
     }
 
-    /** Guards against a request within a share that is refused for the queue of the one server it was drawn on. */
+    /** Guards against refusing a request within its quota because of a queue at the server that was drawn first. */
     @Test
     void aFullServerRefusesNobodyWithinAShareWhileOthersHaveNoQueue() {
         Gateway gateway = new Gateway();
--- a/src/test/java/mastdrift/ThresholdTest.java
+++ b/src/test/java/mastdrift/ThresholdTest.java
@@ -7,21 +7,24 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** theta and S*. */
+/** The response time threshold (theta) and the eligible set (S*). */
 class ThresholdTest {
 
-    /** A slower kind with its p95 at three times the median still answers in time: it must not leave S*. */
+    /** Guards against slower hosts that are excluded from S* though they answer in time, with three times the median
+        p95. */
     @Test
     void serversThatAnswerInTimeStayInTheSet() {
         assertTrue(partOfSlowHost(120_000) > 0.1);
     }
 
+    /** Guards against requests for a server that answers after the deadline. */
     @Test
     void aServerPastTheDeadlineLeaves() {
         assertEquals(0, partOfSlowHost(1_100_000), 0.04);
     }
 
-    /** Three hosts at 20 to 40 ms, h3 at the given latency; deadline 1 s. */
+    /** Three hosts answer in 20 to 40 ms, h3 in the given time; the deadline is 1 s. Returns the fraction sent to
+        h3. */
     private static double partOfSlowHost(long slow) {
         Gateway gateway = new Gateway().start(4);
         Map<String, Long> latency = Map.of("h0", 20_000L, "h1", 40_000L, "h2", 20_000L, "h3", slow);
--- a/src/test/java/mastdrift/wire/PassingOnTest.java
+++ b/src/test/java/mastdrift/wire/PassingOnTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Every setting, message and action of the wire reaches the module, and what is absent gets its default. */
+/** Every setting, message and action of the simulator's protocol is passed on, and what is absent gets its default. */
 class PassingOnTest {
 
     private static final String LEAST = "allowed.cancel=true allowed.probes=false allowed.parallel_tries=true"
@@ -85,7 +85,7 @@
         assertTrue(fault.getMessage().startsWith(pair.substring(0, pair.indexOf('='))), fault.getMessage());
     }
 
-    /** Answers a request with every action, and keeps what it was told. */
+    /** A balancer that responds to a request with every action and records requests and peer messages. */
     private static final class Recorder implements Balancer {
         private Actions actions;
         private final List<Object> told = new ArrayList<>();
--- a/src/test/java/mastdrift/wire/WireTest.java
+++ b/src/test/java/mastdrift/wire/WireTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The adapter, through its streams. */
+/** The adapter, driven by its input and output streams. */
 class WireTest {
 
     private static final String FACTS = "allowed.cancel=true allowed.dial_timeout=60000 allowed.max_attempts=3"
@@ -73,6 +73,7 @@
         assertTrue(run.out().endsWith("end 2\n") && run.err().isEmpty());
     }
 
+    /** Guards against an exception of one balancer that ends the adapter and so all instances. */
     @Test
     void aFaultInsideTheModuleIsAPanicOfThatInstance() throws IOException {
         Run run = run(START + "tick 200 2\ncall gateway/1 7 unheard - 1 240000 - 0\nyour_turn\n");
