--- a/src/main/java/mastdrift/wire/Facts.java
+++ b/src/main/java/mastdrift/wire/Facts.java
@@ -167,7 +167,8 @@
         return values.containsKey(path) ? flag(path) : absent;
     }
 
-    /** The index of the value at a path among the words that are allowed there. */
+    /** The index of the value at a path among the words that are allowed there. The words of an enum are in the order of
+        its constants. */
     private int oneOf(String path, String... words) {
         int found = List.of(words).indexOf(text(path));
         if (found < 0) {
