--- a/src/main/java/mastdrift/Balancer.java
+++ b/src/main/java/mastdrift/Balancer.java
@@ -189,7 +189,7 @@
     void start(long now, Settings settings, Actions actions);
 
     /** The host list or changes of it have come, or could not be had: FAILED carries no hosts. */
-    void hostListReceived(long now, ListUpdateType form, List<Host> hosts);
+    void hostListReceived(long now, ListUpdateType updateType, List<Host> hosts);
 
     /** A client's request has come in. It is owed exactly one final answer: that of an attempt, or a call of
         {@link Actions#refuse} or {@link Actions#fail}. */
@@ -203,11 +203,11 @@
      *
      * @param attempt number of the attempt, as counted by {@link Actions#send}
      * @param elapsed time since the send; for a streaming attempt, from the request's last byte to the answer's first
-     * @param over whether the request has ended, by this outcome or earlier
+     * @param requestEnded whether the request has ended, by this outcome or earlier
      * @param report the host's load report, all NaN where there is none
      */
     void attemptEnded(long now, long id, int attempt, String address, Outcome outcome, long elapsed,
-            boolean over, LoadReport report);
+            boolean requestEnded, LoadReport report);
 
     /** Whether an attempt whose connection has been opened only now may still be written. The client may have left
         since the send, the deadline or the deduplication window may have passed, or the host may be draining. Changes
