--- a/src/main/java/mastdrift/net/Config.java
+++ b/src/main/java/mastdrift/net/Config.java
@@ -17,7 +17,7 @@
 import java.util.stream.Collectors;
 import mastdrift.Balancer.RequestClass;
 import mastdrift.Balancer.Settings;
-import mastdrift.wire.Facts;
+import mastdrift.wire.SettingsParser;
 
 /** What a gateway is told at its start; throws IllegalArgumentException with one plain line where it can't be read.
     Where operators call is null where they don't, and {@code passedSocket} tells that the platform holds the clients'
@@ -32,7 +32,7 @@
         flatten("", root.get("settings"), facts);
         Settings settings;
         try {
-            settings = new Facts(facts).settings(seed(text(root, "seed")));
+            settings = new SettingsParser(facts).toSettings(seed(text(root, "seed")));
         } catch (IllegalArgumentException e) {
             throw new IllegalArgumentException("settings: expected " + e.getMessage(), e);
         }
@@ -83,7 +83,7 @@
         }
     }
 
-    /** Paths as on the simulator's wire, which {@link Facts} reads. */
+    /** Paths as on the simulator's wire, which {@link SettingsParser} reads. */
     private static void flatten(String path, Object node, Map<String, String> facts) {
         if (node instanceof Map<?, ?> object) {
             object.forEach((name, value) -> flatten(path.isEmpty() ? name.toString() : path + "." + name, value, facts));
--- a/src/main/java/mastdrift/wire/Adapter.java
+++ b/src/main/java/mastdrift/wire/Adapter.java
@@ -22,7 +22,7 @@
  */
 final class Adapter {
 
-    private static final LoadReport NO_REPORT = report(new double[] {
+    private static final LoadReport NO_REPORT = loadReport(new double[] {
         Double.NaN, Double.NaN, Double.NaN, Double.NaN, Double.NaN, Double.NaN});
     private static final List<String> REPORT_NAMES =
             List.of("active", "waiting", "cpu", "avg_ms", "rps", "err_rps");
@@ -30,16 +30,16 @@
     private final BufferedReader in;
     private final Writer out;
     private final PrintStream err;
-    private final Supplier<Balancer> modules;
-    private final Map<String, Balancer> instances = new HashMap<>();
-    private final StringBuilder reply = new StringBuilder();
+    private final Supplier<Balancer> balancerFactory;
+    private final Map<String, Balancer> balancers = new HashMap<>();
+    private final StringBuilder output = new StringBuilder();
     private long now;
 
-    Adapter(BufferedReader in, Writer out, PrintStream err, Supplier<Balancer> modules) {
+    Adapter(BufferedReader in, Writer out, PrintStream err, Supplier<Balancer> balancerFactory) {
         this.in = in;
         this.out = out;
         this.err = err;
-        this.modules = modules;
+        this.balancerFactory = balancerFactory;
     }
 
     /** Serves batches until the input ends: {@code tick}, the events, {@code your_turn}. */
@@ -49,19 +49,19 @@
             if (line.isEmpty()) {
                 continue;
             }
-            Fields fields = new Fields(line);
-            String tag = fields.text("a message name");
+            FieldReader fields = new FieldReader(line);
+            String tag = fields.string("a message name");
             if (tag.equals("tick")) {
                 now = fields.number("the clock");
-                batch = fields.text("the batch number");
+                batch = fields.string("the batch number");
             } else if (batch == null) {
                 throw fields.expected("a tick line first");
             } else if (tag.equals("your_turn")) {
-                out.append(reply).append("end ").append(batch).append('\n').flush();
-                reply.setLength(0);
+                out.append(output).append("end ").append(batch).append('\n').flush();
+                output.setLength(0);
                 batch = null;
             } else {
-                event(tag, fields);
+                handleEvent(tag, fields);
             }
         }
         if (batch != null) {
@@ -70,7 +70,7 @@
     }
 
     /** Runs one event; messages of an unknown name are ignored. */
-    private void event(String tag, Fields f) throws IOException {
+    private void handleEvent(String tag, FieldReader fields) throws IOException {
         switch (tag) {
             case "init", "detach", "discovery", "call", "under_way", "resolved", "gone", "timer", "echo",
                     "from_peer" -> { }
@@ -78,118 +78,118 @@
                 return;
             }
         }
-        String name = f.text("an instance");
-        Runnable event = tag.equals("init") ? init(name, f) : read(tag, name, f);
+        String instance = fields.string("an instance");
+        Runnable event = tag.equals("init") ? parseInit(instance, fields) : parseEvent(tag, instance, fields);
         try {
             event.run();
         } catch (IllegalArgumentException e) {
             if (tag.equals("init")) {
-                throw f.expected("settings that the balancer can run with: " + e.getMessage());
+                throw fields.expected("settings that the balancer can run with: " + e.getMessage());
             }
-            panic(name, e);
+            panic(instance, e);
         } catch (RuntimeException e) {
-            panic(name, e);
+            panic(instance, e);
         }
     }
 
     /** Reports an exception of a balancer to the simulator and on standard error. */
-    private void panic(String name, RuntimeException e) {
+    private void panic(String instance, RuntimeException e) {
         String text = String.valueOf(e).replace('\n', ' ');
-        err.println("fault in " + name + ": " + text);
-        reply.append("panic ").append(name).append(' ').append(text).append('\n');
+        err.println("fault in " + instance + ": " + text);
+        output.append("panic ").append(instance).append(' ').append(text).append('\n');
     }
 
-    private Runnable init(String name, Fields f) {
-        long seed = f.number("the seed");
-        Balancer.Settings settings = settings(f, seed);
-        Balancer module = modules.get();
-        instances.put(name, module);
-        return () -> module.start(now, settings, new Printer(name));
+    private Runnable parseInit(String instance, FieldReader fields) {
+        long seed = fields.number("the seed");
+        Balancer.Settings settings = parseSettings(fields, seed);
+        Balancer balancer = balancerFactory.get();
+        balancers.put(instance, balancer);
+        return () -> balancer.start(now, settings, new ActionPrinter(instance));
     }
 
-    private static Balancer.Settings settings(Fields f, long seed) {
-        Facts facts = Facts.read(f);
+    private static Balancer.Settings parseSettings(FieldReader fields, long seed) {
+        SettingsParser facts = SettingsParser.fromPairs(fields);
         try {
-            return facts.settings(seed);
+            return facts.toSettings(seed);
         } catch (IllegalArgumentException e) {
-            throw f.expected(e.getMessage());
+            throw fields.expected(e.getMessage());
         }
     }
 
     /** Parses an event completely before the balancer gets it, so that a malformed line changes nothing. */
-    private Runnable read(String tag, String name, Fields f) throws IOException {
-        Balancer module = instances.get(name);
+    private Runnable parseEvent(String tag, String instance, FieldReader fields) throws IOException {
+        Balancer balancer = balancers.get(instance);
         if (tag.equals("detach")) {
-            instances.remove(name);
+            balancers.remove(instance);
             return () -> { };
         }
-        if (module == null) {
-            throw f.expected("an instance that was started");
+        if (balancer == null) {
+            throw fields.expected("an instance that was started");
         }
         switch (tag) {
             case "discovery":
-                ListUpdateType form = form(f);
-                List<Host> hosts = entries(f);
-                return () -> module.hostListReceived(now, form, hosts);
+                ListUpdateType updateType = parseUpdateType(fields);
+                List<Host> hosts = parseHosts(fields);
+                return () -> balancer.hostListReceived(now, updateType, hosts);
             case "call":
-                Balancer.Request request = call(f);
-                return () -> module.requestReceived(now, request);
+                Balancer.Request request = parseRequest(fields);
+                return () -> balancer.requestReceived(now, request);
             case "under_way":
-                long started = f.number("a request id");
-                int go = (int) f.number("an attempt number");
-                return () -> module.streamingStarted(now, started, go);
+                long streamingId = fields.number("a request id");
+                int attempt = (int) fields.number("an attempt number");
+                return () -> balancer.streamingStarted(now, streamingId, attempt);
             case "resolved":
-                return resolved(module, f);
+                return parseAttemptEnded(balancer, fields);
             case "gone":
-                long id = f.number("a request id");
-                return () -> module.clientLeft(now, id);
+                long id = fields.number("a request id");
+                return () -> balancer.clientLeft(now, id);
             case "timer":
-                String handle = f.text("a timer handle");
-                return () -> module.timerFired(now, handle);
+                String handle = fields.string("a timer handle");
+                return () -> balancer.timerFired(now, handle);
             case "from_peer":
-                int peer = (int) f.number("a peer's number");
-                byte[] message = f.bytes("a message");
-                return () -> module.peerMessageReceived(now, peer, message);
+                int peer = (int) fields.number("a peer's number");
+                byte[] message = fields.bytes("a message");
+                return () -> balancer.peerMessageReceived(now, peer, message);
             default:
-                return echo(module, f);
+                return parseProbeEnded(balancer, fields);
         }
     }
 
     /** Flags are a sum of 1 (the expected work is known), 2 (a client's repeat) and 4 (a write). */
-    private static Balancer.Request call(Fields f) {
-        long id = f.number("a request id");
-        String type = f.text("a class");
-        String tenant = f.optional();
+    private static Balancer.Request parseRequest(FieldReader fields) {
+        long id = fields.number("a request id");
+        String className = fields.string("a class");
+        String tenant = fields.optionalString();
         String tenantName = tenant == null || tenant.equals("0") ? null : tenant;
-        Long key = f.numberOrNull("a key");
-        long left = f.number("the time left");
-        long estimate = f.number("the expected work", 0);
-        long marks = f.number("a sum of flags", 0);
-        return new Balancer.Request(id, type, tenantName, key, left, (marks & 1) != 0 ? estimate : 0,
-                (marks & 2) != 0, (marks & 4) != 0);
+        Long key = fields.numberOrNull("a key");
+        long left = fields.number("the time left");
+        long expectedWork = fields.number("the expected work", 0);
+        long flags = fields.number("a sum of flags", 0);
+        return new Balancer.Request(id, className, tenantName, key, left, (flags & 1) != 0 ? expectedWork : 0,
+                (flags & 2) != 0, (flags & 4) != 0);
     }
 
-    private Runnable resolved(Balancer module, Fields f) {
-        long id = f.number("a request id");
-        int go = (int) f.number("an attempt number");
-        String host = f.text("a host");
-        Outcome outcome = outcome(f);
-        long elapsed = f.number("the elapsed time");
-        boolean over = f.flag("over");
-        LoadReport report = metrics(f);
-        return () -> module.attemptEnded(now, id, go, host, outcome, elapsed, over, report);
+    private Runnable parseAttemptEnded(Balancer balancer, FieldReader fields) {
+        long id = fields.number("a request id");
+        int attempt = (int) fields.number("an attempt number");
+        String host = fields.string("a host");
+        Outcome outcome = parseOutcome(fields);
+        long elapsed = fields.number("the elapsed time");
+        boolean requestEnded = fields.bool("over");
+        LoadReport report = parseLoadReport(fields);
+        return () -> balancer.attemptEnded(now, id, attempt, host, outcome, elapsed, requestEnded, report);
     }
 
-    private Runnable echo(Balancer module, Fields f) {
-        String host = f.text("a host");
-        Outcome outcome = outcome(f);
-        long elapsed = f.number("the elapsed time");
-        LoadReport report = metrics(f);
-        return () -> module.probeEnded(now, host, outcome, elapsed, report);
+    private Runnable parseProbeEnded(Balancer balancer, FieldReader fields) {
+        String host = fields.string("a host");
+        Outcome outcome = parseOutcome(fields);
+        long elapsed = fields.number("the elapsed time");
+        LoadReport report = parseLoadReport(fields);
+        return () -> balancer.probeEnded(now, host, outcome, elapsed, report);
     }
 
-    private static Outcome outcome(Fields f) {
-        String word = f.text("an outcome");
+    private static Outcome parseOutcome(FieldReader fields) {
+        String word = fields.string("an outcome");
         return switch (word) {
             case "delivered" -> Outcome.DELIVERED;
             case "app_error" -> Outcome.ERROR;
@@ -199,58 +199,58 @@
             case "dropped" -> Outcome.DROPPED;
             case "revoked" -> Outcome.REVOKED;
             case "unused" -> Outcome.UNUSED;
-            default -> throw f.expected("a known outcome, not " + word);
+            default -> throw fields.expected("a known outcome, not " + word);
         };
     }
 
-    private static ListUpdateType form(Fields f) {
-        String word = f.text("the type of the list update");
+    private static ListUpdateType parseUpdateType(FieldReader fields) {
+        String word = fields.string("the type of the list update");
         return switch (word) {
             case "delta" -> ListUpdateType.DELTA;
             case "full" -> ListUpdateType.FULL;
             case "cached" -> ListUpdateType.CACHED;
             case "failed" -> ListUpdateType.FAILED;
-            default -> throw f.expected("delta, full, cached or failed, not " + word);
+            default -> throw fields.expected("delta, full, cached or failed, not " + word);
         };
     }
 
     /** Parses the rest of a list message and the entry lines that follow it. */
-    private List<Host> entries(Fields f) throws IOException {
-        f.number("a list version", 0);
-        long count = f.number("the number of entries", 0);
+    private List<Host> parseHosts(FieldReader fields) throws IOException {
+        fields.number("a list version", 0);
+        long count = fields.number("the number of entries", 0);
         List<Host> hosts = new ArrayList<>();
         for (long i = 0; i < count; i++) {
             String line = in.readLine();
             if (line == null) {
                 throw new MalformedLineException("end of input", "an entry line");
             }
-            hosts.add(entry(new Fields(line)));
+            hosts.add(parseHost(new FieldReader(line)));
         }
         return hosts;
     }
 
-    private static Host entry(Fields f) {
-        if (!f.text("entry").equals("entry")) {
-            throw f.expected("an entry line");
+    private static Host parseHost(FieldReader fields) {
+        if (!fields.string("entry").equals("entry")) {
+            throw fields.expected("an entry line");
         }
-        int pod = (int) f.number("a cell number", 0);
-        String address = f.text("a host");
-        String zone = f.text("a zone");
-        double weight = f.real("a weight", 1);
-        String kind = f.text("a host model");
-        String health = f.text("a health");
-        HostState state = switch (health) {
+        int cell = (int) fields.number("a cell number", 0);
+        String address = fields.string("a host");
+        String zone = fields.string("a zone");
+        double weight = fields.decimal("a weight", 1);
+        String model = fields.string("a host model");
+        String stateCode = fields.string("a health");
+        HostState state = switch (stateCode) {
             case "U" -> HostState.IN_SERVICE;
             case "L" -> HostState.TERMINATING;
             case "D" -> HostState.TERMINATED;
-            default -> throw f.expected("a health of U, L or D, not " + health);
+            default -> throw fields.expected("a health of U, L or D, not " + stateCode);
         };
-        return new Host(address, zone, pod, kind, weight, state, f.number("a start time", 0));
+        return new Host(address, zone, cell, model, weight, state, fields.number("a start time", 0));
     }
 
     /** Parses {@code name:value,...}; unknown names are ignored. */
-    private static LoadReport metrics(Fields f) {
-        String text = f.optional();
+    private static LoadReport parseLoadReport(FieldReader fields) {
+        String text = fields.optionalString();
         if (text == null) {
             return NO_REPORT;
         }
@@ -259,86 +259,86 @@
         for (String pair : text.split(",")) {
             int colon = pair.indexOf(':');
             if (colon < 0) {
-                throw f.expected("a load report of name:value pairs");
+                throw fields.expected("a load report of name:value pairs");
             }
-            int at = REPORT_NAMES.indexOf(pair.substring(0, colon));
-            if (at >= 0) {
-                values[at] = f.parseReal(pair.substring(colon + 1), pair.substring(0, colon));
+            int index = REPORT_NAMES.indexOf(pair.substring(0, colon));
+            if (index >= 0) {
+                values[index] = fields.parseDecimal(pair.substring(colon + 1), pair.substring(0, colon));
             }
         }
-        return report(values);
+        return loadReport(values);
     }
 
-    private static LoadReport report(double[] v) {
-        return new LoadReport(v[0], v[1], v[2], v[3], v[4], v[5]);
+    private static LoadReport loadReport(double[] values) {
+        return new LoadReport(values[0], values[1], values[2], values[3], values[4], values[5]);
     }
 
     /** Appends one instance's actions to the output of the batch. */
-    private final class Printer implements Balancer.Actions {
+    private final class ActionPrinter implements Balancer.Actions {
 
-        private final String name;
+        private final String instance;
 
-        Printer(String name) {
-            this.name = name;
+        ActionPrinter(String instance) {
+            this.instance = instance;
         }
 
-        private StringBuilder line(String verb) {
-            return reply.append(verb).append(' ').append(name).append(' ');
+        private StringBuilder startLine(String verb) {
+            return output.append(verb).append(' ').append(instance).append(' ');
         }
 
         @Override
         public void send(long id, String address, long timeout) {
-            line("place").append(id).append(' ').append(address).append(' ').append(timeout).append('\n');
+            startLine("place").append(id).append(' ').append(address).append(' ').append(timeout).append('\n');
         }
 
         @Override
         public void cancel(long id, int attempt) {
-            line("abort_attempt").append(id).append(' ').append(attempt).append('\n');
+            startLine("abort_attempt").append(id).append(' ').append(attempt).append('\n');
         }
 
         @Override
         public void refuse(long id, long retryAfter) {
-            line("decline").append(id).append(' ').append(retryAfter).append('\n');
+            startLine("decline").append(id).append(' ').append(retryAfter).append('\n');
         }
 
         @Override
         public void fail(long id) {
-            line("error").append(id).append('\n');
+            startLine("error").append(id).append('\n');
         }
 
         @Override
         public void scheduleTimer(long at, String handle) {
-            line("after").append(at).append(' ').append(handle).append('\n');
+            startLine("after").append(at).append(' ').append(handle).append('\n');
         }
 
         @Override
         public void probe(String address) {
-            line("poll").append(address).append('\n');
+            startLine("poll").append(address).append('\n');
         }
 
         @Override
         public void watchHostList(boolean active) {
-            line("watch").append(active ? "1\n" : "0\n");
+            startLine("watch").append(active ? "1\n" : "0\n");
         }
 
         @Override
         public void fetchHostList() {
-            reply.append("pull ").append(name).append('\n');
+            output.append("pull ").append(instance).append('\n');
         }
 
         @Override
         public void closeIdleConnections(String address) {
-            line("free_links").append(address).append('\n');
+            startLine("free_links").append(address).append('\n');
         }
 
         @Override
         public void sendToPeer(int peer, byte[] message) {
-            line("notify").append(peer < 0 ? "*" : "" + peer).append(' ').append(Fields.hex(message)).append('\n');
+            startLine("notify").append(peer < 0 ? "*" : "" + peer).append(' ').append(FieldReader.hex(message)).append('\n');
         }
 
         @Override
         public void log(String text) {
-            line("log").append(text.replace('\n', ' ')).append('\n');
+            startLine("log").append(text.replace('\n', ' ')).append('\n');
         }
     }
 }
--- a/src/main/java/mastdrift/wire/Fields.java
+++ b/src/main/java/mastdrift/wire/FieldReader.java
@@ -6,12 +6,12 @@
 
 /** Reads the space-separated fields of one line in order. A field is absent if it is {@code -} or if the line ends
     before it. The name that each method takes says in the exception what was expected. */
-final class Fields {
+final class FieldReader {
 
     private final String line;
-    private int at;
+    private int position;
 
-    Fields(String line) {
+    FieldReader(String line) {
         this.line = line;
     }
 
@@ -20,21 +20,21 @@
     }
 
     /** The next field, or null if it is absent. */
-    String optional() {
-        if (at > line.length()) {
+    String optionalString() {
+        if (position > line.length()) {
             return null;
         }
-        int end = line.indexOf(' ', at);
+        int end = line.indexOf(' ', position);
         if (end < 0) {
             end = line.length();
         }
-        String part = line.substring(at, end);
-        at = end + 1;
+        String part = line.substring(position, end);
+        position = end + 1;
         return part.isEmpty() || part.equals("-") ? null : part;
     }
 
-    String text(String name) {
-        String part = optional();
+    String string(String name) {
+        String part = optionalString();
         if (part == null) {
             throw expected(name);
         }
@@ -42,22 +42,22 @@
     }
 
     long number(String name) {
-        return parse(text(name), name);
+        return parseNumber(string(name), name);
     }
 
-    long number(String name, long absent) {
-        String part = optional();
-        return part == null ? absent : parse(part, name);
+    long number(String name, long fallback) {
+        String part = optionalString();
+        return part == null ? fallback : parseNumber(part, name);
     }
 
     Long numberOrNull(String name) {
-        String part = optional();
-        return part == null ? null : Long.valueOf(parse(part, name));
+        String part = optionalString();
+        return part == null ? null : Long.valueOf(parseNumber(part, name));
     }
 
     /** Bytes as hex digits; an absent field is an empty array. */
     byte[] bytes(String name) {
-        String part = optional();
+        String part = optionalString();
         try {
             return part == null ? new byte[0] : HexFormat.of().parseHex(part);
         } catch (IllegalArgumentException e) {
@@ -70,13 +70,13 @@
         return bytes.length == 0 ? "-" : HexFormat.of().formatHex(bytes);
     }
 
-    double real(String name, double absent) {
-        String part = optional();
-        return part == null ? absent : parseReal(part, name);
+    double decimal(String name, double fallback) {
+        String part = optionalString();
+        return part == null ? fallback : parseDecimal(part, name);
     }
 
-    boolean flag(String name) {
-        String part = text(name);
+    boolean bool(String name) {
+        String part = string(name);
         if (!part.equals("0") && !part.equals("1")) {
             throw expected(name + ", 0 or 1");
         }
@@ -84,9 +84,9 @@
     }
 
     /** The fields up to the first that is absent. */
-    List<String> rest() {
+    List<String> remaining() {
         List<String> parts = new ArrayList<>();
-        for (String part = optional(); part != null; part = optional()) {
+        for (String part = optionalString(); part != null; part = optionalString()) {
             parts.add(part);
         }
         return parts;
@@ -96,7 +96,7 @@
         return new MalformedLineException(line, what);
     }
 
-    double parseReal(String part, String name) {
+    double parseDecimal(String part, String name) {
         try {
             double value = Double.parseDouble(part);
             if (Double.isFinite(value)) {
@@ -108,7 +108,7 @@
         throw expected(name + ", a finite number");
     }
 
-    private long parse(String part, String name) {
+    private long parseNumber(String part, String name) {
         try {
             return Long.parseLong(part);
         } catch (NumberFormatException e) {
--- a/src/test/java/mastdrift/wire/PassingOnTest.java
+++ b/src/test/java/mastdrift/wire/PassingOnTest.java
@@ -40,7 +40,7 @@
             + " tenants.0.fraction=0.6 tenants.0.quota_per_s=7.5 a.key.of.tomorrow=1";
 
     private static Balancer.Settings settings(String facts) {
-        return Facts.read(new Fields(facts)).settings(5);
+        return SettingsParser.fromPairs(new FieldReader(facts)).toSettings(5);
     }
 
     @Test
