--- a/src/test/java/mastdrift/AdmissionTest.java
+++ b/src/test/java/mastdrift/AdmissionTest.java
@@ -13,11 +13,11 @@
 
     /** Guards against a full server that makes the gateway refuse requests for other servers. */
     @Test
-    void aFullServerRefusesOnlyItsOwn() {
-        Gateway gateway = new Gateway().start(4);
+    void aFullServerCausesRefusalsOnlyOfItsOwnRequests() {
+        TestGateway gateway = new TestGateway().start(4);
         warmUp(gateway, 400, 20_000);
         for (int i = 0; i < 200; i++) {
-            answer(gateway, i, "h2", 290_000);
+            requestAndAnswer(gateway, i, "h2", 290_000);
         }
         assertTrue(gateway.refused.size() > 10 && gateway.refused.size() < 80, "refused " + gateway.refused.size());
         int before = gateway.sent.size();
@@ -27,12 +27,12 @@
 
     /** Guards against long requests taken for a queue: they raise a percentile, but not the shortest answers. */
     @Test
-    void longRequestsAloneRefuseNobody() {
-        Gateway gateway = new Gateway().start(4);
+    void longRequestsAloneCauseNoRefusals() {
+        TestGateway gateway = new TestGateway().start(4);
         for (int i = 0; i < 400; i++) {
             long id = gateway.request(1_000L + i);
             gateway.advance(5_000);
-            gateway.end(gateway.sends(id).get(0), Outcome.DELIVERED, i % 8 == 0 ? 290_000 : 30_000);
+            gateway.endAttempt(gateway.sendsOf(id).get(0), Outcome.DELIVERED, i % 8 == 0 ? 290_000 : 30_000);
         }
         assertEquals(0, gateway.refused.size());
     }
@@ -40,22 +40,22 @@
     /** Guards against two slow hosts, h1 and h10, that raise the p95 of all so that requests for the other nine hosts
         are refused. */
     @Test
-    void twoSlowServersOfElevenDoNotHaveTheFleetRefuse() {
-        Gateway gateway = new Gateway().start(11);
+    void twoSlowServersOfElevenDoNotMakeTheGatewayRefuse() {
+        TestGateway gateway = new TestGateway().start(11);
         warmUp(gateway, 400, 20_000);
-        Deque<Gateway.Sent> slow = new ArrayDeque<>();
+        Deque<TestGateway.Sent> slow = new ArrayDeque<>();
         for (int i = 0; i < 1000; i++) {
             long id = gateway.request("read", null, 10_000L + i, 2_000_000);
             gateway.advance(30_000);
-            for (Gateway.Sent send : gateway.sends(id)) {
+            for (TestGateway.Sent send : gateway.sendsOf(id)) {
                 if (send.address().startsWith("h1")) {
                     slow.add(send);
                 } else {
-                    gateway.end(send, Outcome.DELIVERED);
+                    gateway.endAttempt(send, Outcome.DELIVERED);
                 }
             }
             while (!slow.isEmpty() && gateway.now - slow.peek().at() > 700_000) {
-                gateway.end(slow.poll(), Outcome.DELIVERED);
+                gateway.endAttempt(slow.poll(), Outcome.DELIVERED);
             }
         }
         assertTrue(gateway.refused.size() < 200, "refused " + gateway.refused.size() + " of 1000");
@@ -64,40 +64,40 @@
     /** Guards against lost answers taken for an overload, which refused most requests: a fifth of the answers never
         comes, the others are quick. Only a server whose latest answer is missing may look full for a while. */
     @Test
-    void lostAnswersAloneRefuseFew() {
-        Gateway gateway = new Gateway().start(12);
+    void lostAnswersAloneCauseFewRefusals() {
+        TestGateway gateway = new TestGateway().start(12);
         warmUp(gateway, 400, 20_000);
-        Deque<Gateway.Sent> lost = new ArrayDeque<>();
+        Deque<TestGateway.Sent> lost = new ArrayDeque<>();
         for (int i = 0; i < 1000; i++) {
             long id = gateway.request("read", null, 10_000L + i, 1_000_000);
             gateway.advance(20_000);
-            for (Gateway.Sent send : gateway.sends(id)) {
+            for (TestGateway.Sent send : gateway.sendsOf(id)) {
                 if (i % 5 == 0 && send.attempt() == 0) {
                     lost.add(send);
                 } else {
-                    gateway.end(send, Outcome.DELIVERED);
+                    gateway.endAttempt(send, Outcome.DELIVERED);
                 }
             }
             while (!lost.isEmpty() && gateway.now - lost.peek().at() >= 1_000_000) {
-                gateway.end(lost.poll(), Outcome.EXPIRED);
+                gateway.endAttempt(lost.poll(), Outcome.EXPIRED);
             }
         }
-        long atOnce = gateway.refused.stream().filter(r -> gateway.sends(Long.parseLong(r)).isEmpty()).count();
-        assertTrue(atOnce < 300, "refused at once: " + atOnce);
+        long refusedWithoutSend = gateway.refused.stream().filter(r -> gateway.sendsOf(Long.parseLong(r)).isEmpty()).count();
+        assertTrue(refusedWithoutSend < 300, "refused at once: " + refusedWithoutSend);
     }
 
     /** Guards against a gateway that never refuses for lack of samples: at five requests a second, all served late, two
         seconds give too few for a percentile. */
     @Test
     void aQuietGatewayRefusesInAnOverloadToo() {
-        Gateway gateway = new Gateway().start(300);
-        Deque<Gateway.Sent> out = new ArrayDeque<>();
+        TestGateway gateway = new TestGateway().start(300);
+        Deque<TestGateway.Sent> inFlight = new ArrayDeque<>();
         for (int i = 0; i < 200; i++) {
             long id = gateway.request("read", null, 10_000L + i, 1_000_000);
-            out.addAll(gateway.sends(id));
+            inFlight.addAll(gateway.sendsOf(id));
             gateway.advance(200_000);
-            while (!out.isEmpty() && gateway.now - out.peek().at() >= 900_000) {
-                gateway.end(out.poll(), Outcome.DELIVERED);
+            while (!inFlight.isEmpty() && gateway.now - inFlight.peek().at() >= 900_000) {
+                gateway.endAttempt(inFlight.poll(), Outcome.DELIVERED);
             }
         }
         assertTrue(gateway.refused.size() > 20, "refused " + gateway.refused.size());
@@ -106,13 +106,13 @@
     /** Guards against refusals that begin too late: queues grow until then, so a few samples have to be enough. */
     @Test
     void aQuietGatewayDoesNotWaitForTwentySamples() {
-        Gateway gateway = new Gateway().start(300);
-        Deque<Gateway.Sent> out = new ArrayDeque<>();
+        TestGateway gateway = new TestGateway().start(300);
+        Deque<TestGateway.Sent> inFlight = new ArrayDeque<>();
         for (int i = 0; i < 20; i++) {
-            out.addAll(gateway.sends(gateway.request(10_000L + i)));
+            inFlight.addAll(gateway.sendsOf(gateway.request(10_000L + i)));
             gateway.advance(200_000);
-            while (!out.isEmpty() && gateway.now - out.peek().at() >= 900_000) {
-                gateway.end(out.poll(), Outcome.DELIVERED);
+            while (!inFlight.isEmpty() && gateway.now - inFlight.peek().at() >= 900_000) {
+                gateway.endAttempt(inFlight.poll(), Outcome.DELIVERED);
             }
         }
         assertTrue(gateway.refused.size() > 2, "refused " + gateway.refused.size());
@@ -120,12 +120,12 @@
 
     /** Guards against refusals for a single long answer among the few of a quiet gateway. */
     @Test
-    void aSingleLongAnswerRefusesNobodyAtAQuietGateway() {
-        Gateway gateway = new Gateway().start(300);
+    void aSingleLongAnswerCausesNoRefusalAtAQuietGateway() {
+        TestGateway gateway = new TestGateway().start(300);
         for (int i = 0; i < 60; i++) {
             long id = gateway.request(10_000L + i);
             gateway.advance(i % 30 == 20 ? 600_000 : 20_000);
-            gateway.end(gateway.sends(id).get(0), Outcome.DELIVERED);
+            gateway.endAttempt(gateway.sendsOf(id).get(0), Outcome.DELIVERED);
             gateway.advance(300_000);
         }
         assertEquals(0, gateway.refused.size());
@@ -133,16 +133,16 @@
 
     @Test
     void newSessionsAreRefusedBeforeRememberedOnes() {
-        Gateway gateway = new Gateway().start(4);
+        TestGateway gateway = new TestGateway().start(4);
         warmUp(gateway, 400, 130_000);
         int refusedOld = 0;
         int refusedNew = 0;
         for (int i = 0; i < 300; i++) {
             int before = gateway.refused.size();
-            answer(gateway, i % 100, "h", 130_000);
+            requestAndAnswer(gateway, i % 100, "h", 130_000);
             refusedOld += gateway.refused.size() - before;
             before = gateway.refused.size();
-            answer(gateway, 50_000L + i, "h", 130_000);
+            requestAndAnswer(gateway, 50_000L + i, "h", 130_000);
             refusedNew += gateway.refused.size() - before;
         }
         assertTrue(refusedNew > 20, "new " + refusedNew);
@@ -153,28 +153,28 @@
         to refuse: with queues half full, some requests with a session are refused. */
     @Test
     void rememberedSessionsAreRefusedBeforeAllQueuesAreFull() {
-        Gateway gateway = new Gateway().start(4);
+        TestGateway gateway = new TestGateway().start(4);
         warmUp(gateway, 400, 20_000);
         for (int i = 0; i < 600; i++) {
-            answer(gateway, i % 100, "h", 100_000);
+            requestAndAnswer(gateway, i % 100, "h", 100_000);
         }
         assertTrue(gateway.refused.size() > 10, "refused " + gateway.refused.size());
     }
 
-    private static void warmUp(Gateway gateway, int requests, long elapsed) {
+    private static void warmUp(TestGateway gateway, int requests, long elapsed) {
         for (int i = 0; i < requests; i++) {
-            answer(gateway, i % 100, "h", i < 100 ? 20_000 : elapsed);
+            requestAndAnswer(gateway, i % 100, "h", i < 100 ? 20_000 : elapsed);
         }
         gateway.refused.clear();
     }
 
     /** One request; hosts whose address has that prefix answer in {@code elapsed}, others in 20 ms. */
-    private static void answer(Gateway gateway, long key, String prefix, long elapsed) {
+    private static void requestAndAnswer(TestGateway gateway, long key, String prefix, long elapsed) {
         long id = gateway.request(key);
         gateway.advance(10_000);
-        if (!gateway.answered(id)) {
-            Gateway.Sent send = gateway.sends(id).get(0);
-            gateway.end(send, Outcome.DELIVERED, send.address().startsWith(prefix) ? elapsed : 20_000);
+        if (!gateway.refusedOrFailed(id)) {
+            TestGateway.Sent send = gateway.sendsOf(id).get(0);
+            gateway.endAttempt(send, Outcome.DELIVERED, send.address().startsWith(prefix) ? elapsed : 20_000);
         }
     }
 }
--- a/src/test/java/mastdrift/ColdHostTest.java
+++ b/src/test/java/mastdrift/ColdHostTest.java
@@ -12,10 +12,10 @@
     /** Guards against a cold host that is overloaded along with the warm ones: those are sent far more than they
         serve. */
     @Test
-    void coldHostGetsItsPartOfWhatWarmOnesServeNotOfWhatTheyAreSent() {
-        Gateway gateway = new Gateway().start(4);
+    void coldHostGetsItsPartOfWhatWarmHostsServeNotOfWhatTheyAreSent() {
+        TestGateway gateway = new TestGateway().start(4);
         overload(gateway, 800);
-        gateway.list(ListUpdateType.DELTA, Gateway.up(9, gateway.now));
+        gateway.updateList(ListUpdateType.DELTA, TestGateway.inService(9, gateway.now));
         int before = gateway.sent.size();
         overload(gateway, 400);
         long cold = gateway.sent.stream().skip(before).filter(s -> s.address().equals("h9")).count();
@@ -27,35 +27,35 @@
         it. */
     @Test
     void coldHostWhoseClientsGiveUpIsNotSentMore() {
-        Gateway gateway = new Gateway().start(2);
+        TestGateway gateway = new TestGateway().start(2);
         gateway.serve(1000, 5_000, 5_000);
-        gateway.list(ListUpdateType.DELTA, Gateway.up(9, gateway.now));
+        gateway.updateList(ListUpdateType.DELTA, TestGateway.inService(9, gateway.now));
         int cold = 0;
         for (int i = 0; i < 400; i++) {
             int before = gateway.sent.size();
             gateway.request("read", null, 7_000_000L + i, 1_000_000);
             gateway.advance(5_000);
-            boolean toCold = gateway.sent.size() > before && gateway.last().address().equals("h9");
+            boolean toCold = gateway.sent.size() > before && gateway.lastSend().address().equals("h9");
             cold += toCold ? 1 : 0;
             if (toCold) {
-                gateway.module.clientLeft(gateway.now, gateway.last().id());
+                gateway.balancer.clientLeft(gateway.now, gateway.lastSend().id());
             } else {
-                gateway.end(gateway.last(), Outcome.DELIVERED, 5_000);
+                gateway.endAttempt(gateway.lastSend(), Outcome.DELIVERED, 5_000);
             }
         }
         assertTrue(cold > 0 && cold <= 3, "sent to the silent cold host: " + cold);
     }
 
     /** 200 requests a second, of which a fifth is served; the clients of the others leave. */
-    private static void overload(Gateway gateway, int requests) {
+    private static void overload(TestGateway gateway, int requests) {
         for (int i = 0; i < requests; i++) {
             int before = gateway.sent.size();
             gateway.request(gateway.now);
             gateway.advance(5_000);
             if (gateway.sent.size() > before && i % 5 == 0) {
-                gateway.end(gateway.last(), Outcome.DELIVERED, 5_000);
+                gateway.endAttempt(gateway.lastSend(), Outcome.DELIVERED, 5_000);
             } else if (gateway.sent.size() > before) {
-                gateway.module.clientLeft(gateway.now, gateway.last().id());
+                gateway.balancer.clientLeft(gateway.now, gateway.lastSend().id());
             }
         }
     }
@@ -63,12 +63,12 @@
     /** Guards against sessions that gather on the hosts which a release has not restarted yet: a host that is warm gets
         its full share from the first request on, though it is new to the gateway. */
     @Test
-    void hostsThatAreWarmAgainDrawTheirShareAtOnce() {
-        Gateway gateway = new Gateway().start(0);
+    void restartedHostsThatAreWarmGetTheirShareAtOnce() {
+        TestGateway gateway = new TestGateway().start(0);
         long restarted = gateway.now;
         gateway.advance(11_000_000);
-        gateway.list(ListUpdateType.FULL, Gateway.up(0, 0), Gateway.up(2, restarted), Gateway.up(4, restarted),
-                Gateway.up(6, restarted));
+        gateway.updateList(ListUpdateType.FULL, TestGateway.inService(0, 0), TestGateway.inService(2, restarted), TestGateway.inService(4, restarted),
+                TestGateway.inService(6, restarted));
         for (int i = 0; i < 80; i++) {
             gateway.request(10_000L + i);
         }
--- a/src/test/java/mastdrift/EmbeddingTest.java
+++ b/src/test/java/mastdrift/EmbeddingTest.java
@@ -17,9 +17,9 @@
 
     @Test
     void theReadmeExampleRuns() throws IOException {
-        Gateway actions = new Gateway();
+        TestGateway actions = new TestGateway();
         Balancer.Settings settings = actions.settings();
-        List<Host> knownHosts = List.of(Gateway.up(0, 0), Gateway.up(1, 0));
+        List<Host> knownHosts = List.of(TestGateway.inService(0, 0), TestGateway.inService(1, 0));
         long now = 1_000_000;
 
         Balancer balancer = new HeadroomBalancer();
--- a/src/test/java/mastdrift/FleetTest.java
+++ b/src/test/java/mastdrift/FleetTest.java
@@ -22,31 +22,31 @@
     /** Guards against gateways that overload their zone's hosts while those of another zone are idle: each gateway
         sends few requests to any host and sees no load, but the list tells the load by all gateways. */
     @Test
-    void aCrowdedZonesGatewaysGoToTheIdleOne() {
-        List<Gateway> fleet = fleet(5);
-        assertTrue(partAway(fleet, 0, 0) < 0.35, "to the other zone while both are idle: " + partAway(fleet, 0, 0));
-        double away = partAway(fleet, 9, 0.5);
+    void gatewaysOfAnOverloadedZoneUseTheIdleZone() {
+        List<TestGateway> fleet = fleet(5);
+        assertTrue(remoteZoneFraction(fleet, 0, 0) < 0.35, "to the other zone while both are idle: " + remoteZoneFraction(fleet, 0, 0));
+        double away = remoteZoneFraction(fleet, 9, 0.5);
         assertTrue(away > 0.5, "to the other zone while the own is overloaded: " + away);
-        assertTrue(partAway(fleet, 4, 4) < 0.35, "too much to the other zone while both have the same load");
+        assertTrue(remoteZoneFraction(fleet, 4, 4) < 0.35, "too much to the other zone while both have the same load");
     }
 
     /** Guards against hosts that are overloaded before any gateway refuses: each sees a few of a host's answers, here
         quick ones, and learns of the load by all gateways from the list. */
     @Test
-    void hostsThatTheListTellsToBeCrowdedAreRefusedBeforeOwnAnswersTellIt() {
+    void loadsInTheListCauseRefusalsBeforeOwnAnswersDo() {
         int refused = 0;
-        int calm = 0;
-        for (Gateway gateway : fleet(5)) {
+        int refusedBeforeLoad = 0;
+        for (TestGateway gateway : fleet(5)) {
             for (int i = 0; i < 400; i++) {
-                calm = i < 200 ? gateway.refused.size() : calm;
+                refusedBeforeLoad = i < 200 ? gateway.refused.size() : refusedBeforeLoad;
                 if (i % 20 == 0) {
                     double load = i < 200 ? 0.5 : 9;
-                    gateway.list(ListUpdateType.FULL, IntStream.range(0, HOSTS).mapToObj(h -> new Host("h" + h, "z" + h % 2, h / 4,
+                    gateway.updateList(ListUpdateType.FULL, IntStream.range(0, HOSTS).mapToObj(h -> new Host("h" + h, "z" + h % 2, h / 4,
                             "std", 2 / (1 + (h < 2 ? 0 : h < 50 ? 0.5 : load)), HostState.IN_SERVICE, 0)).toArray(Host[]::new));
                 }
                 gateway.serve(1, 40_000, 40_000);
             }
-            assertTrue(calm == 0, "refused while no host is overloaded: " + calm);
+            assertTrue(refusedBeforeLoad == 0, "refused while no host is overloaded: " + refusedBeforeLoad);
             refused += gateway.refused.size();
         }
         assertTrue(refused > 50, "refused of 1000 with ten of 60 hosts overloaded: " + refused);
@@ -56,9 +56,9 @@
         has seen an answer and knows a rate. What all gateways send stays within the budget: a host with one core that
         takes 25 ms for a request serves 40 a second when warm. */
     @Test
-    void aFleetThatStartsAmongColdHostsUsesThemWithinTheirBudget() {
-        List<Gateway> fleet = fleet(14);
-        int most = mostToOneColdHostInTwoSeconds(fleet, 0);
+    void aFleetThatStartsWithColdHostsUsesThemWithinTheirBudget() {
+        List<TestGateway> fleet = fleet(14);
+        int most = maxSendsToOneColdHostInTwoSeconds(fleet, 0);
         double capacity = 40 * (0.2 + 0.8 * 0.3);  // requests a second, 3 s into the warm-up time of 10 s
         assertTrue(most > 1, "sent to a cold host: " + most);
         assertTrue(most <= 3 * 2 * capacity, "sent to a cold host in 2 s: " + most);
@@ -68,25 +68,25 @@
         take more requests, and when it can't. */
     @Test
     void coldHostsThatIdleAreSentMoreAndBusyOnesAreNot() {
-        int idle = mostToOneColdHostInTwoSeconds(fleet(14), 0);
-        int busy = mostToOneColdHostInTwoSeconds(fleet(14), 3);
+        int idle = maxSendsToOneColdHostInTwoSeconds(fleet(14), 0);
+        int busy = maxSendsToOneColdHostInTwoSeconds(fleet(14), 3);
         assertTrue(idle > 2 * busy, "idle " + idle + " busy " + busy);
     }
 
     /** Runs five seconds with hosts that have just started and have this load. Returns the most requests that all
         gateways sent to one host in the last two seconds. Each gateway gets 40 requests a second, served in 25 ms. */
-    private static int mostToOneColdHostInTwoSeconds(List<Gateway> fleet, double load) {
+    private static int maxSendsToOneColdHostInTwoSeconds(List<TestGateway> fleet, double load) {
         Map<String, Integer> sent = new HashMap<>();
-        for (Gateway gateway : fleet) {
-            long born = gateway.now;
+        for (TestGateway gateway : fleet) {
+            long startedAt = gateway.now;
             for (int i = 0; i < 200; i++) {
                 if (i % 20 == 0) {
-                    gateway.list(ListUpdateType.FULL, IntStream.range(0, HOSTS).mapToObj(h -> new Host("h" + h, "z" + h % 2,
-                            h / 4, "std", 2 / (1 + (h < 10 ? 0 : load)), HostState.IN_SERVICE, born)).toArray(Host[]::new));
+                    gateway.updateList(ListUpdateType.FULL, IntStream.range(0, HOSTS).mapToObj(h -> new Host("h" + h, "z" + h % 2,
+                            h / 4, "std", 2 / (1 + (h < 10 ? 0 : load)), HostState.IN_SERVICE, startedAt)).toArray(Host[]::new));
                 }
                 gateway.serve(1, 25_000, 25_000);
             }
-            gateway.sent.stream().filter(s -> s.at() >= born + 3_000_000 && s.address().length() == 3)
+            gateway.sent.stream().filter(s -> s.at() >= startedAt + 3_000_000 && s.address().length() == 3)
                     .forEach(s -> sent.merge(s.address(), 1, Integer::sum));
         }
         return sent.values().stream().mapToInt(n -> n).max().orElse(0);
@@ -95,32 +95,32 @@
     /** Guards against hosts or gateways left out by a limit on their number, and against parts that get more uneven
         with that number: as many of each as a site may list. */
     @Test
-    void aThousandHostsGetTheirPartsFromAThousandGateways() {
-        int[] parts = new int[1024];
+    void aThousandGatewaysSplitRequestsEvenlyOverAThousandHosts() {
+        int[] sendsByHost = new int[1024];
         for (int g = 0; g < 1024; g++) {
-            Gateway gateway = new Gateway();
-            gateway.me = g;
+            TestGateway gateway = new TestGateway();
+            gateway.instanceIndex = g;
             gateway.seed = g;
-            gateway.gateways = 1024;
-            gateway.start(parts.length);
+            gateway.gatewayCount = 1024;
+            gateway.start(sendsByHost.length);
             for (int i = 0; i < 64; i++) {
                 gateway.request((long) g * 64 + i);
-                parts[Integer.parseInt(gateway.last().address().substring(1))]++;
-                gateway.end(gateway.last(), Outcome.DELIVERED, 20_000);
+                sendsByHost[Integer.parseInt(gateway.lastSend().address().substring(1))]++;
+                gateway.endAttempt(gateway.lastSend(), Outcome.DELIVERED, 20_000);
             }
         }
-        double largest = IntStream.of(parts).max().orElse(0);
-        double smallest = IntStream.of(parts).min().orElse(0);
+        double largest = IntStream.of(sendsByHost).max().orElse(0);
+        double smallest = IntStream.of(sendsByHost).min().orElse(0);
         assertTrue(largest < 4 * smallest, "largest part " + largest + ", smallest " + smallest);
     }
 
-    private static List<Gateway> fleet(int gateways) {
-        List<Gateway> fleet = new ArrayList<>();
+    private static List<TestGateway> fleet(int gateways) {
+        List<TestGateway> fleet = new ArrayList<>();
         for (int i = 0; i < gateways; i++) {
-            Gateway gateway = new Gateway();
+            TestGateway gateway = new TestGateway();
             gateway.seed = 100 + i;
-            gateway.gateways = gateways;
-            gateway.weights = WeightMode.LIVE;
+            gateway.gatewayCount = gateways;
+            gateway.weightMode = WeightMode.LIVE;
             fleet.add(gateway.start(0));
         }
         return fleet;
@@ -129,15 +129,15 @@
     /** Runs ten seconds with lists that carry these loads twice a second, and requests that both zones serve alike.
         Returns the fraction that went to z1 in the second half. One host of each zone is idle, which its weight
         shows. */
-    private static double partAway(List<Gateway> fleet, double homeLoad, double awayLoad) {
+    private static double remoteZoneFraction(List<TestGateway> fleet, double homeLoad, double awayLoad) {
         int away = 0;
         int all = 0;
-        for (Gateway gateway : fleet) {
+        for (TestGateway gateway : fleet) {
             int before = 0;
             for (int i = 0; i < 400; i++) {
                 before = i == 200 ? gateway.sent.size() : before;
                 if (i % 20 == 0) {
-                    gateway.list(ListUpdateType.FULL, hosts(homeLoad, awayLoad));
+                    gateway.updateList(ListUpdateType.FULL, hosts(homeLoad, awayLoad));
                 }
                 gateway.serve(1, 25_000, 25_000);
             }
--- a/src/test/java/mastdrift/RetryTest.java
+++ b/src/test/java/mastdrift/RetryTest.java
@@ -11,13 +11,13 @@
     /** Guards against retries that multiply the load when full connection tables make every dial fail. */
     @Test
     void failedConnectionsAreRetriedWithinTheBudgetOnly() {
-        Gateway gateway = new Gateway().start(8);
+        TestGateway gateway = new TestGateway().start(8);
         int calls = 400;
         for (int i = 0; i < calls; i++) {
             long id = gateway.request(null);
             gateway.advance(1_000);
-            for (int sends = 0; sends < gateway.sends(id).size(); sends++) {
-                gateway.end(gateway.sends(id).get(sends), Outcome.DIAL_FAILED);
+            for (int sends = 0; sends < gateway.sendsOf(id).size(); sends++) {
+                gateway.endAttempt(gateway.sendsOf(id).get(sends), Outcome.DIAL_FAILED);
             }
         }
         long retries = gateway.sent.stream().filter(s -> s.attempt() > 0).count();
@@ -27,13 +27,13 @@
     /** Guards against retries that multiply the load when every server fails. */
     @Test
     void errorsAreRetriedWithinTheBudgetOnly() {
-        Gateway gateway = new Gateway().start(8);
+        TestGateway gateway = new TestGateway().start(8);
         int calls = 400;
         for (int i = 0; i < calls; i++) {
             long id = gateway.request(null);
             gateway.advance(1_000);
-            for (int sends = 0; sends < gateway.sends(id).size(); sends++) {
-                gateway.end(gateway.sends(id).get(sends), Outcome.ERROR);
+            for (int sends = 0; sends < gateway.sendsOf(id).size(); sends++) {
+                gateway.endAttempt(gateway.sendsOf(id).get(sends), Outcome.ERROR);
             }
         }
         long retries = gateway.sent.stream().filter(s -> s.attempt() > 0).count();
--- a/src/test/java/mastdrift/SilentServerTest.java
+++ b/src/test/java/mastdrift/SilentServerTest.java
@@ -14,8 +14,8 @@
 
     /** Guards against a lost zone that costs one request for each of its servers. */
     @Test
-    void aLostZoneIsLeftOnceHalfOfItIsKnownToBeDown() {
-        Gateway gateway = new Gateway().start(120);
+    void aLostZoneGetsNothingOnceHalfOfItIsDown() {
+        TestGateway gateway = new TestGateway().start(120);
         gateway.serve(400, 5_000, 5_000);
         int before = gateway.sent.size();
         loseZone(gateway, 600, Outcome.DIAL_FAILED);
@@ -26,7 +26,7 @@
     /** Guards against retries that fail for lack of budget after a server that is down, where they add no load. */
     @Test
     void retriesFromADownServerAreFree() {
-        Gateway gateway = new Gateway().start(120);
+        TestGateway gateway = new TestGateway().start(120);
         gateway.serve(400, 5_000, 5_000);
         int refused = gateway.refused.size();
         loseZone(gateway, 600, Outcome.DIAL_FAILED);
@@ -36,18 +36,18 @@
 
     /** Guards against a host that hangs but accepts connections, so that it is never marked down and probed. */
     @Test
-    void aHangingHostIsTakenForDownBeforeItsAttemptsTimeOut() {
-        Gateway gateway = new Gateway().start(4);
+    void aHangingHostIsMarkedDownBeforeItsAttemptsTimeOut() {
+        TestGateway gateway = new TestGateway().start(4);
         gateway.serve(200, 5_000, 5_000);
         gateway.probes.clear();
-        Deque<Gateway.Sent> out = new ArrayDeque<>();
+        Deque<TestGateway.Sent> inFlight = new ArrayDeque<>();
         for (int i = 0; i < 200; i++) {
             int before = gateway.sent.size();
             gateway.request("read", null, gateway.now, 60_000_000);
             gateway.advance(20_000);
-            gateway.sent.stream().skip(before).filter(s -> !s.address().equals("h2")).forEach(out::add);
-            while (!out.isEmpty() && gateway.now - out.peek().at() >= 200_000) {
-                gateway.end(out.poll(), Outcome.DELIVERED);
+            gateway.sent.stream().skip(before).filter(s -> !s.address().equals("h2")).forEach(inFlight::add);
+            while (!inFlight.isEmpty() && gateway.now - inFlight.peek().at() >= 200_000) {
+                gateway.endAttempt(inFlight.poll(), Outcome.DELIVERED);
             }
         }
         assertEquals(List.of("h2"), gateway.probes);
@@ -55,22 +55,22 @@
 
     /** Guards against long streams taken for a silent server, a queue or an overload. */
     @Test
-    void streamsThatLastTakeNoServerDownAndRefuseNobody() {
-        Gateway gateway = new Gateway().start(4);
+    void longStreamsMarkNoServerDownAndCauseNoRefusals() {
+        TestGateway gateway = new TestGateway().start(4);
         gateway.serve(200, 5_000, 5_000);
         int before = gateway.sent.size();
         for (int i = 0; i < 80; i++) {
             long id = gateway.request("read", null, 5_000_000L + i, 600_000);
-            gateway.module.streamingStarted(gateway.now, id, 0);
+            gateway.balancer.streamingStarted(gateway.now, id, 0);
             gateway.advance(50_000);
         }
-        List<Gateway.Sent> streams = List.copyOf(gateway.sent.subList(before, gateway.sent.size()));
+        List<TestGateway.Sent> streams = List.copyOf(gateway.sent.subList(before, gateway.sent.size()));
         gateway.serve(100, 5_000, 5_000);
         assertEquals(80, streams.size());
         assertEquals(List.of(), gateway.refused);
-        assertEquals(0, gateway.module.excludedHostCount(gateway.now));
-        for (Gateway.Sent stream : streams) {
-            gateway.end(stream, Outcome.DELIVERED, 5_000);
+        assertEquals(0, gateway.balancer.excludedHostCount(gateway.now));
+        for (TestGateway.Sent stream : streams) {
+            gateway.endAttempt(stream, Outcome.DELIVERED, 5_000);
         }
         gateway.advance(1_000_000);
         gateway.serve(100, 5_000, 5_000);
@@ -80,28 +80,28 @@
     /** Guards against a retry of a streamed request, of which the gateway keeps no copy. */
     @Test
     void aStreamThatFailsIsNotSentAgain() {
-        Gateway gateway = new Gateway().start(4);
+        TestGateway gateway = new TestGateway().start(4);
         long id = gateway.request(7L);
-        gateway.module.streamingStarted(gateway.now, id, 0);
-        gateway.end(gateway.last(), Outcome.DROPPED);
-        assertEquals(1, gateway.sends(id).size());
-        assertTrue(gateway.answered(id));
+        gateway.balancer.streamingStarted(gateway.now, id, 0);
+        gateway.endAttempt(gateway.lastSend(), Outcome.DROPPED);
+        assertEquals(1, gateway.sendsOf(id).size());
+        assertTrue(gateway.refusedOrFailed(id));
     }
 
     /** Guards against sessions that stay at a server until the next refresh after it was marked down. */
     @Test
-    void rememberedKeysLeaveADownServerAtOnce() {
-        Gateway gateway = new Gateway().start(4);
+    void sessionsLeaveADownServerAtOnce() {
+        TestGateway gateway = new TestGateway().start(4);
         for (long key = 0; key < 20; key++) {
             gateway.request(key);
             gateway.advance(1_000);
-            gateway.end(gateway.last(), Outcome.DELIVERED);
+            gateway.endAttempt(gateway.lastSend(), Outcome.DELIVERED);
         }
         String home = gateway.sent.get(0).address();
         gateway.advance(1_500_000);
         gateway.request(0L);
-        assertEquals(home, gateway.last().address());
-        gateway.end(gateway.last(), Outcome.DIAL_FAILED);
+        assertEquals(home, gateway.lastSend().address());
+        gateway.endAttempt(gateway.lastSend(), Outcome.DIAL_FAILED);
         int before = gateway.sent.size();
         for (long key = 1; key < 20; key++) {
             gateway.request(key);
@@ -113,7 +113,7 @@
         once. */
     @Test
     void probesReachAllDownHostsAndNeverTwoAtOnce() {
-        Gateway gateway = new Gateway().start(40);
+        TestGateway gateway = new TestGateway().start(40);
         gateway.serve(2000, 2_000, 2_000);
         loseZone(gateway, 200, Outcome.DIAL_FAILED);
         for (int i = 0; i < 100; i++) {
@@ -124,18 +124,18 @@
         assertEquals(20, down.size());
     }
 
-    private static boolean inLostZone(Gateway.Sent send) {
+    private static boolean inLostZone(TestGateway.Sent send) {
         return Integer.parseInt(send.address().substring(1)) % 2 == 1;
     }
 
-    private static void loseZone(Gateway gateway, int requests, Outcome outcome) {
+    private static void loseZone(TestGateway gateway, int requests, Outcome outcome) {
         gateway.advance(1_500_000);
         for (int i = 0; i < requests; i++) {
             long id = gateway.request(gateway.now);
             gateway.advance(5_000);
-            for (int n = 0; n < gateway.sends(id).size(); n++) {
-                Gateway.Sent send = gateway.sends(id).get(n);
-                gateway.end(send, inLostZone(send) ? outcome : Outcome.DELIVERED, 5_000);
+            for (int n = 0; n < gateway.sendsOf(id).size(); n++) {
+                TestGateway.Sent send = gateway.sendsOf(id).get(n);
+                gateway.endAttempt(send, inLostZone(send) ? outcome : Outcome.DELIVERED, 5_000);
             }
         }
     }
--- a/src/test/java/mastdrift/SizeTest.java
+++ b/src/test/java/mastdrift/SizeTest.java
@@ -12,7 +12,7 @@
 class SizeTest {
 
     @Test
-    void moduleStaysReviewable() throws IOException {
+    void balancerStaysShortEnoughToReview() throws IOException {
         List<String> lines = Files.readAllLines(Path.of("src/main/java/mastdrift/HeadroomBalancer.java"));
         assertTrue(lines.stream().filter(l -> !l.isBlank()).count() <= 1_200);
         assertTrue(lines.stream().allMatch(l -> l.length() <= 110));
--- a/src/test/java/mastdrift/Gateway.java
+++ b/src/test/java/mastdrift/TestGateway.java
@@ -30,7 +30,7 @@
 
 /** A gateway without network: gives events to one balancer on a simulated clock and records the actions that it asks
     for. Simulates no host and no latency; tests say when attempts end. */
-final class Gateway implements Balancer.Actions {
+final class TestGateway implements Balancer.Actions {
 
     static final LoadReport NO_REPORT =
             new LoadReport(Double.NaN, Double.NaN, Double.NaN, Double.NaN, Double.NaN, Double.NaN);
@@ -38,16 +38,16 @@
     /** One attempt that the balancer sent. */
     record Sent(long id, int attempt, String address, long timeout, long at) { }
 
-    final Balancer module = new HeadroomBalancer();
+    final Balancer balancer = new HeadroomBalancer();
     final List<Sent> sent = new ArrayList<>();
     final List<String> refused = new ArrayList<>();
     final List<String> failed = new ArrayList<>();
     final List<String> cancelled = new ArrayList<>();
     final List<String> probes = new ArrayList<>();
     final List<Long> retryAfters = new ArrayList<>();
-    final List<String> closed = new ArrayList<>();
-    final List<String> logged = new ArrayList<>();
-    int watches;
+    final List<String> closedAddresses = new ArrayList<>();
+    final List<String> logLines = new ArrayList<>();
+    int watchRequests;
     long now = 1_000_000;
     private final Map<Long, Integer> attempts = new LinkedHashMap<>();
     private final TreeMap<Long, List<String>> timers = new TreeMap<>();
@@ -55,100 +55,100 @@
 
     // ---- Settings; tests change them before start
 
-    Idempotency repeat = Idempotency.SAFE;
-    DedupScope group = DedupScope.ALL;
-    long window = 2_000_000;
-    boolean cancel = true;
-    boolean probing = true;
-    boolean parallel = true;
+    Idempotency idempotency = Idempotency.SAFE;
+    DedupScope dedupScope = DedupScope.ALL;
+    long dedupWindow = 2_000_000;
+    boolean mayCancel = true;
+    boolean mayProbe = true;
+    boolean mayHedge = true;
     int maxAttempts = 4;
-    boolean retryAfter = true;
-    int gateways = 1;
-    int me;
+    boolean sendsRetryAfter = true;
+    int gatewayCount = 1;
+    int instanceIndex;
     /** Guarantees, or null for the defaults. */
-    Guarantees rules;
+    Guarantees guarantees;
     long seed = 42;
-    long mustAskIn;
-    WeightMode weights = WeightMode.OFF;
+    long listRequestDeadline;
+    WeightMode weightMode = WeightMode.OFF;
     List<Tenant> tenants = List.of();
     List<RequestClass> classes;
 
-    RequestClass type(String name) {
-        return new RequestClass(name, 300_000, 0, 1_000_000, 1, 0.2, repeat, group, window, false);
+    RequestClass requestClass(String name) {
+        return new RequestClass(name, 300_000, 0, 1_000_000, 1, 0.2, idempotency, dedupScope, dedupWindow, false);
     }
 
     Settings settings() {
-        return new Settings(classes == null ? List.of(type("read")) : classes, tenants,
-                new Limits(cancel, probing, parallel, false, maxAttempts, 20_000, retryAfter, 500_000),
+        return new Settings(classes == null ? List.of(requestClass("read")) : classes, tenants,
+                new Limits(mayCancel, mayProbe, mayHedge, false, maxAttempts, 20_000, sendsRetryAfter, 500_000),
                 new ConnectionSettings(100_000, 5_000_000, 1), new CpuBudget(500_000, 0),
-                rules != null ? rules : new Guarantees(20_000, 250_000, mustAskIn, 0.2, 10_000_000, 3, 2_000_000),
+                guarantees != null ? guarantees : new Guarantees(20_000, 250_000, listRequestDeadline, 0.2, 10_000_000, 3, 2_000_000),
                 new Scoring(new ScoreWeights(1, 0, 0, 0), new Penalties(0, 0, 0, 0, 0, 0.01, 0, 0, 0, 0, 0), 0.05, false),
-                new Topology(me, gateways, "z0", List.of("z0", "z1"), List.of("std"), 0, List.of("servers")),
-                new Capabilities(true, false, LoadReportMode.OFF, List.of(), false), mustAskIn > 0, weights, "proxy",
+                new Topology(instanceIndex, gatewayCount, "z0", List.of("z0", "z1"), List.of("std"), 0, List.of("servers")),
+                new Capabilities(true, false, LoadReportMode.OFF, List.of(), false), listRequestDeadline > 0, weightMode, "proxy",
                 1_000, seed);
     }
 
     /** Starts the balancer with this many hosts in service, none of them cold. */
-    Gateway start(int hosts) {
-        module.start(now, settings(), this);
+    TestGateway start(int hosts) {
+        balancer.start(now, settings(), this);
         List<Host> list = new ArrayList<>();
         for (int i = 0; i < hosts; i++) {
-            list.add(up(i, 0));
+            list.add(inService(i, 0));
         }
-        module.hostListReceived(now, ListUpdateType.CACHED, list);
+        balancer.hostListReceived(now, ListUpdateType.CACHED, list);
         return this;
     }
 
     /** Host number i: zones z0 and z1 in turn, two hosts of a zone in each cell. */
-    static Host host(int i, HostState health, long born) {
-        return new Host("h" + i, "z" + i % 2, i % 2 * 1000 + i / 4, "std", 1, health, born);
+    static Host host(int i, HostState state, long startedAt) {
+        return new Host("h" + i, "z" + i % 2, i % 2 * 1000 + i / 4, "std", 1, state, startedAt);
     }
 
-    static Host up(int i, long born) {
-        return host(i, HostState.IN_SERVICE, born);
+    static Host inService(int i, long startedAt) {
+        return host(i, HostState.IN_SERVICE, startedAt);
     }
 
-    void list(ListUpdateType form, Host... hosts) {
-        module.hostListReceived(now, form, List.of(hosts));
+    void updateList(ListUpdateType updateType, Host... hosts) {
+        balancer.hostListReceived(now, updateType, List.of(hosts));
     }
 
     long request(Long key) {
         return request("read", null, key, 1_000_000);
     }
 
-    long request(String type, String tenant, Long key, long left) {
+    long request(String className, String tenant, Long key, long left) {
         long id = nextId++;
-        module.requestReceived(now, new Request(id, type, tenant, key, left));
+        balancer.requestReceived(now, new Request(id, className, tenant, key, left));
         return id;
     }
 
     /** The latest attempt. */
-    Sent last() {
+    Sent lastSend() {
         return sent.get(sent.size() - 1);
     }
 
     /** The attempts of one request. */
-    List<Sent> sends(long id) {
+    List<Sent> sendsOf(long id) {
         return sent.stream().filter(s -> s.id() == id).toList();
     }
 
-    void end(Sent send, Outcome outcome) {
-        end(send, outcome, now - send.at());
+    void endAttempt(Sent send, Outcome outcome) {
+        endAttempt(send, outcome, now - send.at());
     }
 
-    void end(Sent send, Outcome outcome, long elapsed) {
-        module.attemptEnded(now, send.id(), send.attempt(), send.address(), outcome, elapsed,
+    void endAttempt(Sent send, Outcome outcome, long elapsed) {
+        balancer.attemptEnded(now, send.id(), send.attempt(), send.address(), outcome, elapsed,
                 outcome == Outcome.DELIVERED, NO_REPORT);
     }
 
     /** Advances the clock, firing the timers that come due. */
-    void advance(long span) {
-        long until = now + span;
+    void advance(long duration) {
+        long until = now + duration;
         while (!timers.isEmpty() && timers.firstKey() <= until) {
             Map.Entry<Long, List<String>> due = timers.pollFirstEntry();
             now = Math.max(now, due.getKey());
             for (String handle : due.getValue()) {
-                module.timerFired(now, handle);
+                balancer.timerFired(now, handle);
             }
         }
         now = until;
@@ -161,13 +161,13 @@
             request("read", null, 1_000_000L + nextId, 1_000_000);
             advance(gap);
             if (sent.size() > before) {
-                end(last(), Outcome.DELIVERED, elapsed);
+                endAttempt(lastSend(), Outcome.DELIVERED, elapsed);
             }
         }
     }
 
     /** Whether the balancer itself gave the final answer. */
-    boolean answered(long id) {
+    boolean refusedOrFailed(long id) {
         return refused.contains("" + id) || failed.contains("" + id);
     }
 
@@ -184,9 +184,9 @@
     }
 
     @Override
-    public void refuse(long id, long after) {
+    public void refuse(long id, long retryAfter) {
         refused.add("" + id);
-        retryAfters.add(after);
+        retryAfters.add(retryAfter);
     }
 
     @Override
@@ -206,7 +206,7 @@
 
     @Override
     public void watchHostList(boolean active) {
-        watches += active ? 1 : 0;
+        watchRequests += active ? 1 : 0;
     }
 
     @Override
@@ -214,7 +214,7 @@
 
     @Override
     public void closeIdleConnections(String address) {
-        closed.add(address);
+        closedAddresses.add(address);
     }
 
     @Override
@@ -222,6 +222,6 @@
 
     @Override
     public void log(String line) {
-        logged.add(line);
+        logLines.add(line);
     }
 }
--- a/src/test/java/mastdrift/wire/PassingOnTest.java
+++ b/src/test/java/mastdrift/wire/AdapterMappingTest.java
@@ -18,16 +18,16 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Every setting, message and action of the simulator's protocol is passed on, and what is absent gets its default. */
-class PassingOnTest {
+class AdapterMappingTest {
 
-    private static final String LEAST = "allowed.cancel=true allowed.probes=false allowed.parallel_tries=true"
+    private static final String REQUIRED_SETTINGS = "allowed.cancel=true allowed.probes=false allowed.parallel_tries=true"
             + " allowed.max_attempts=3 allowed.retry_after=true allowed.max_retry_after=9 allowed.dial_timeout=8"
             + " balancers=4 locality=a registry_mode=pushed weights=off guarantees.cold_from=0.2"
             + " guarantees.warm_within=7 guarantees.tip_multiple=3.5 guarantees.fall=6 classes.count=1"
             + " classes.0.name=r classes.0.target=1 classes.0.deadline=2 classes.0.credit=3.0"
             + " classes.0.late_share=0.25 classes.0.repeat=idempotency_key classes.0.group=cell"
             + " classes.0.dedup_window=5";
-    private static final String MORE = " allowed.may_tell=true allowed.max_open=11 allowed.conn_idle=12"
+    private static final String OPTIONAL_SETTINGS = " allowed.may_tell=true allowed.max_open=11 allowed.conn_idle=12"
             + " allowed.streams_per_conn=13 allowed.cpu_us_per_s=14 allowed.cpu_us_per_request=1.5"
             + " guarantees.answer_slack=16 guarantees.drain_grace=17 guarantees.must_ask_in=18 me=2 dcs=a,b"
             + " skus=k,l layer=1 stages=s,t worth_by=work over_share_worth=0.05 goal.whole=0.4"
@@ -39,18 +39,18 @@
             + " classes.0.aim_stretch=2.5 service_type=proxy resolution=19 tenants.count=1 tenants.0.name=x"
             + " tenants.0.fraction=0.6 tenants.0.quota_per_s=7.5 a.key.of.tomorrow=1";
 
-    private static Balancer.Settings settings(String facts) {
-        return SettingsParser.fromPairs(new FieldReader(facts)).toSettings(5);
+    private static Balancer.Settings settings(String pairs) {
+        return SettingsParser.fromPairs(new FieldReader(pairs)).toSettings(5);
     }
 
     @Test
     void everySettingIsRead() {
-        Balancer.Settings s = settings(LEAST + MORE);
+        Balancer.Settings s = settings(REQUIRED_SETTINGS + OPTIONAL_SETTINGS);
         assertEquals(new Balancer.Limits(true, false, true, true, 3, 11, true, 9), s.limits());
         assertEquals(new Balancer.ConnectionSettings(8, 12, 13), s.connections());
         assertEquals(new Balancer.CpuBudget(14, 1.5), s.cpu());
         assertEquals(new Balancer.Guarantees(16, 17, 0, 0.2, 7, 3.5, 6), s.guarantees());
-        assertEquals(18, settings((LEAST + MORE).replace("=pushed", "=on_request")).guarantees().listRequestDeadline());
+        assertEquals(18, settings((REQUIRED_SETTINGS + OPTIONAL_SETTINGS).replace("=pushed", "=on_request")).guarantees().listRequestDeadline());
         assertEquals(new Balancer.Topology(2, 4, "a", List.of("a", "b"), List.of("k", "l"), 1, List.of("s", "t")),
                 s.topology());
         assertEquals(new Balancer.Scoring(new Balancer.ScoreWeights(0.4, 0.3, 0.2, 0.1),
@@ -66,8 +66,8 @@
     }
 
     @Test
-    void whatMayBeAbsentGetsADefaultThatChangesNothing() {
-        Balancer.Settings s = settings(LEAST);
+    void optionalSettingsHaveNeutralDefaults() {
+        Balancer.Settings s = settings(REQUIRED_SETTINGS);
         assertEquals(new Balancer.ScoreWeights(1, 0, 0, 0), s.scoring().weights());
         assertEquals(0, s.scoring().penalties().probe());
         assertEquals(1, s.scoring().overQuotaValueFraction());
@@ -80,27 +80,27 @@
     @ParameterizedTest
     @ValueSource(strings = {"allowed.max_open=many", "prices.probe=cheap", "stats.how=often", "me=4294967296",
         "family_info.warm_keys=perhaps", "classes.0.aim_stretch=NaN", "goal.whole=-"})
-    void aSettingThatCantBeReadIsNamed(String pair) {
-        Exception fault = assertThrows(IllegalArgumentException.class, () -> settings(LEAST + " " + pair));
+    void aMalformedSettingIsNamed(String pair) {
+        Exception fault = assertThrows(IllegalArgumentException.class, () -> settings(REQUIRED_SETTINGS + " " + pair));
         assertTrue(fault.getMessage().startsWith(pair.substring(0, pair.indexOf('='))), fault.getMessage());
     }
 
     /** A balancer that responds to a request with every action and records requests and peer messages. */
     private static final class Recorder implements Balancer {
         private Actions actions;
-        private final List<Object> told = new ArrayList<>();
+        private final List<Object> received = new ArrayList<>();
 
         @Override
-        public void start(long now, Settings settings, Actions given) {
-            actions = given;
+        public void start(long now, Settings settings, Actions newActions) {
+            actions = newActions;
         }
 
         @Override
-        public void hostListReceived(long now, ListUpdateType form, List<Host> hosts) { }
+        public void hostListReceived(long now, ListUpdateType updateType, List<Host> hosts) { }
 
         @Override
         public void requestReceived(long now, Request request) {
-            told.add(request);
+            received.add(request);
             actions.watchHostList(true);
             actions.watchHostList(false);
             actions.fetchHostList();
@@ -115,7 +115,7 @@
 
         @Override
         public void attemptEnded(long now, long id, int attempt, String address, Outcome outcome, long elapsed,
-                boolean over, LoadReport report) { }
+                boolean requestEnded, LoadReport report) { }
 
         @Override
         public void clientLeft(long now, long id) { }
@@ -130,7 +130,7 @@
 
         @Override
         public void peerMessageReceived(long now, int peer, byte[] message) {
-            told.add(List.of(peer, (int) message[0], message.length));
+            received.add(List.of(peer, (int) message[0], message.length));
         }
 
         @Override
@@ -138,23 +138,23 @@
     }
 
     @Test
-    void everyActionIsPrintedAndACallIsWhole() throws IOException {
-        Recorder module = new Recorder();
+    void everyActionIsPrintedAndARequestArrivesComplete() throws IOException {
+        Recorder balancer = new Recorder();
         StringWriter out = new StringWriter();
-        String input = "tick 1 1\ninit g/0 5 " + LEAST + "\nfrom_peer g/0 2 0a0b\n"
+        String input = "tick 1 1\ninit g/0 5 " + REQUIRED_SETTINGS + "\nfrom_peer g/0 2 0a0b\n"
                 + "call g/0 7 r x 9 100 50 7\ncall g/0 8 r 0 - 100 50 0\nyour_turn\n";
         new Adapter(new BufferedReader(new StringReader(input)), out, new PrintStream(PrintStream.nullOutputStream()),
-                () -> module).run();
-        String once = "watch g/0 1\nwatch g/0 0\npull g/0\nfree_links g/0 h:1\nnotify g/0 3 01ab\n"
+                () -> balancer).run();
+        String actionLines = "watch g/0 1\nwatch g/0 0\npull g/0\nfree_links g/0 h:1\nnotify g/0 3 01ab\n"
                 + "notify g/0 * -\nlog g/0 two lines\n";
-        assertEquals(once + once + "end 1\n", out.toString());
+        assertEquals(actionLines + actionLines + "end 1\n", out.toString());
         assertEquals(List.of(List.of(2, 10, 2), new Balancer.Request(7, "r", "x", 9L, 100, 50, true, true),
-                new Balancer.Request(8, "r", null, null, 100, 0, false, false)), module.told);
+                new Balancer.Request(8, "r", null, null, 100, 0, false, false)), balancer.received);
     }
 
     @Test
-    void aReportValueNobodyKnowsIsPassedOver() throws IOException {
-        String input = "tick 1 1\ninit g/0 5 " + LEAST + "\nresolved g/0 7 0 h shed 1 1 cpu:0.5,mood:fine\nyour_turn\n";
+    void anUnknownLoadReportValueIsIgnored() throws IOException {
+        String input = "tick 1 1\ninit g/0 5 " + REQUIRED_SETTINGS + "\nresolved g/0 7 0 h shed 1 1 cpu:0.5,mood:fine\nyour_turn\n";
         StringWriter out = new StringWriter();
         new Adapter(new BufferedReader(new StringReader(input)), out, new PrintStream(PrintStream.nullOutputStream()),
                 Recorder::new).run();
--- a/src/test/java/mastdrift/wire/WireTest.java
+++ b/src/test/java/mastdrift/wire/WireTest.java
@@ -18,7 +18,7 @@
 /** The adapter, driven by its input and output streams. */
 class WireTest {
 
-    private static final String FACTS = "allowed.cancel=true allowed.dial_timeout=60000 allowed.max_attempts=3"
+    private static final String SETTINGS = "allowed.cancel=true allowed.dial_timeout=60000 allowed.max_attempts=3"
             + " allowed.max_retry_after=750000 allowed.parallel_tries=true allowed.probes=true"
             + " allowed.retry_after=true balancers=1 classes.count=1 classes.0.credit=5.0"
             + " classes.0.deadline=400000 classes.0.dedup_window=0 classes.0.group=all classes.0.late_share=0.2"
@@ -26,7 +26,7 @@
             + " guarantees.fall=2000000 guarantees.tip_multiple=3.0 guarantees.warm_within=9000000"
             + " guarantees.must_ask_in=10000000 locality=a registry_mode=pushed tenants= weights=rough"
             + " a.setting.nobody.knows=7";
-    private static final String INIT = "init gateway/1 42 " + FACTS + "\n";
+    private static final String INIT = "init gateway/1 42 " + SETTINGS + "\n";
     private static final String LIST = "discovery gateway/1 cached 1 2\nentry 0 h1:1 a 1 std U -\n"
             + "entry 0 h2:1 a 1.5 std U 6100000\n";
     private static final String START = "tick 100 1\n" + INIT + LIST + "your_turn\n";
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void aRequestIsPlacedAndItsOutcomeEndsIt() throws IOException {
+    void aRequestIsSentAndItsOutcomeEndsIt() throws IOException {
         Run run = run(START + "tick 200 2\ncall gateway/1 7 read - 4711 240000 12000 1\nyour_turn\n"
                 + "tick 20200 3\nresolved gateway/1 7 0 h1:1 delivered 20000 1 cpu:0.62,waiting:3,other:9\nyour_turn\n");
         assertEquals(0, run.status());
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void messagesAndInstancesComeAndGo() throws IOException {
+    void unknownMessagesAreIgnoredAndInstancesCanBeReplaced() throws IOException {
         Run run = run(START + "tick 200 2\nweather gateway/1 sunny\ndetach gateway/1\n" + INIT + LIST
                 + "gone gateway/1 99\ntimer gateway/1 nothing\necho gateway/1 h1:1 delivered 5 cpu:0.1\n"
                 + "under_way gateway/1 7 0 h1:1 5\ndiscovery gateway/1 failed - -\nyour_turn\n");
@@ -75,7 +75,7 @@
 
     /** Guards against an exception of one balancer that ends the adapter and so all instances. */
     @Test
-    void aFaultInsideTheModuleIsAPanicOfThatInstance() throws IOException {
+    void anExceptionInTheBalancerIsAPanicOfThatInstance() throws IOException {
         Run run = run(START + "tick 200 2\ncall gateway/1 7 unheard - 1 240000 - 0\nyour_turn\n");
         assertEquals(0, run.status());
         assertTrue(run.out().contains("panic gateway/1 java.lang.IllegalArgumentException: unknown class"));
