--- a/src/main/java/mastdrift/HeadroomBalancer.java
+++ b/src/main/java/mastdrift/HeadroomBalancer.java
@@ -328,12 +328,12 @@
         if (req == null || attemptNumber < 0 || attemptNumber >= req.attempts.size() || !req.attempts.get(attemptNumber).pending) {
             return;
         }
-        Attempt mine = req.attempts.get(attemptNumber);
-        if (!mine.streaming && mine.server.unansweredSends > 0) {
-            mine.server.unansweredSends--;  // a long stream is no sign of a silent server
+        Attempt attempt = req.attempts.get(attemptNumber);
+        if (!attempt.streaming && attempt.server.unansweredSends > 0) {
+            attempt.server.unansweredSends--;  // a long stream is no sign of a silent server
         }
         req.streaming = true;
-        mine.streaming = true;
+        attempt.streaming = true;
     }
 
     @Override
@@ -365,8 +365,8 @@
         if (req == null || attemptNumber < 0 || attemptNumber >= req.attempts.size() || !req.attempts.get(attemptNumber).pending) {
             return false;
         }
-        Attempt mine = req.attempts.get(attemptNumber);
-        return isListed(mine.server) && req.expiresAt > now && mayRepeat(now, req, mine.server, mine);
+        Attempt attempt = req.attempts.get(attemptNumber);
+        return isListed(attempt.server) && req.expiresAt > now && mayRepeat(now, req, attempt.server, attempt);
     }
 
     @Override
