--- a/src/main/java/mastdrift/HeadroomBalancer.java
+++ b/src/main/java/mastdrift/HeadroomBalancer.java
@@ -167,7 +167,8 @@
 
         /** Adds the tokens earned since the last call; returns whether a request is within the quota. */
         boolean refillAndCheck(long now) {
-            tokens = Math.min(Math.max(requestsPerSecond, MIN_QUOTA_BURST_REQUESTS), tokens + requestsPerSecond * (now - refilledAt) / 1e6);
+            tokens = Math.min(Math.max(requestsPerSecond, MIN_QUOTA_BURST_REQUESTS),
+                    tokens + requestsPerSecond * (now - refilledAt) / 1e6);
             refilledAt = now;
             return tokens >= 1;
         }
@@ -261,11 +262,13 @@
             tightestTarget = Math.min(tightestTarget, requestClass.latencyTarget());
         }
         for (Tenant tenant : newSettings.tenants()) {
-            tenantQuotas.put(tenant.name(), new TenantQuota(tenant.quotaPerSecond() / newSettings.topology().gatewayCount(), now));
+            tenantQuotas.put(tenant.name(),
+                    new TenantQuota(tenant.quotaPerSecond() / newSettings.topology().gatewayCount(), now));
         }
         refreshedAt = now;
         actions.scheduleTimer(now + 1 + random.nextLong(REFRESH_INTERVAL_MICROS), REFRESH_TIMER);
-        weightsAreSizes = newSettings.weightMode() == WeightMode.NOMINAL || newSettings.weightMode() == WeightMode.ROUGH;
+        weightsAreSizes = newSettings.weightMode() == WeightMode.NOMINAL
+                || newSettings.weightMode() == WeightMode.ROUGH;
         weightsAreLoads = newSettings.weightMode() == WeightMode.LIVE;
         if (newSettings.listOnRequest()) {
             nextListRequestAt = now + random.nextLong(newSettings.guarantees().listRequestDeadline() / 4 + 1);
@@ -325,7 +328,8 @@
     @Override
     public void streamingStarted(long now, long id, int attemptNumber) {
         OpenRequest req = openRequests.get(id);
-        if (req == null || attemptNumber < 0 || attemptNumber >= req.attempts.size() || !req.attempts.get(attemptNumber).pending) {
+        if (req == null || attemptNumber < 0 || attemptNumber >= req.attempts.size()
+                || !req.attempts.get(attemptNumber).pending) {
             return;
         }
         Attempt attempt = req.attempts.get(attemptNumber);
@@ -337,8 +341,8 @@
     }
 
     @Override
-    public void attemptEnded(long now, long id, int attemptNumber, String address, Outcome outcome, long elapsed,
-            boolean requestEnded, LoadReport report) {
+    public void attemptEnded(long now, long id, int attemptNumber, String address, Outcome outcome,
+            long elapsed, boolean requestEnded, LoadReport report) {
         OpenRequest req = openRequests.get(id);
         recordReport(now, servers.get(address), report);
         boolean known = req != null && attemptNumber >= 0 && attemptNumber < req.attempts.size();
@@ -347,10 +351,12 @@
             return;  // late or repeated; counted twice, the sums of attempts in flight would be wrong
         }
         recordAttemptEnd(now, req, attempt, outcome, elapsed);
-        if (countsForAdmission(now, attempt.server) && outcome != Outcome.REVOKED && outcome != Outcome.UNUSED) {
+        if (countsForAdmission(now, attempt.server) && outcome != Outcome.REVOKED
+                && outcome != Outcome.UNUSED) {
             admissionSampleTimes[admissionSampleCount % ADMISSION_SAMPLES] = now;
             double sampleLateness = lateness(attempt.streaming ? req.arrivedAt + elapsed : now, req);
-            admissionSamples[admissionSampleCount++ % ADMISSION_SAMPLES] = outcome == Outcome.DELIVERED ? sampleLateness : FAILED_LATENESS;
+            admissionSamples[admissionSampleCount++ % ADMISSION_SAMPLES] =
+                    outcome == Outcome.DELIVERED ? sampleLateness : FAILED_LATENESS;
         }
         if (requestEnded) {
             endRequest(req);
@@ -362,11 +368,13 @@
     @Override
     public boolean mayWrite(long now, long id, int attemptNumber) {
         OpenRequest req = openRequests.get(id);
-        if (req == null || attemptNumber < 0 || attemptNumber >= req.attempts.size() || !req.attempts.get(attemptNumber).pending) {
+        if (req == null || attemptNumber < 0 || attemptNumber >= req.attempts.size()
+                || !req.attempts.get(attemptNumber).pending) {
             return false;
         }
         Attempt attempt = req.attempts.get(attemptNumber);
-        return isListed(attempt.server) && req.expiresAt > now && mayRepeat(now, req, attempt.server, attempt);
+        return isListed(attempt.server) && req.expiresAt > now
+                && mayRepeat(now, req, attempt.server, attempt);
     }
 
     @Override
@@ -415,7 +423,8 @@
         switch (outcome) {
             case DELIVERED -> {
                 server.lastDeliveryAt = now;
-                typicalLatency[req.classIndex] += LATENCY_EWMA_WEIGHT * (elapsed - typicalLatency[req.classIndex]);
+                typicalLatency[req.classIndex] +=
+                        LATENCY_EWMA_WEIGHT * (elapsed - typicalLatency[req.classIndex]);
                 server.deliveredCount++;
                 server.overtakenSentAt = Math.max(server.overtakenSentAt, attempt.sentAt - elapsed);
                 recordAnswer(now, server);
@@ -443,9 +452,11 @@
     private void markDown(long now, Server server) {
         server.down = true;
         String zoneName = server.host.zone();
-        List<Server> zoneServers = servers.values().stream().filter(s -> s.host.zone().equals(zoneName)).toList();
+        List<Server> zoneServers = servers.values().stream().filter(s -> s.host.zone().equals(zoneName))
+                .toList();
         if (2 * zoneServers.stream().filter(s -> s.down).count() > zoneServers.size()) {
-            zoneServers.stream().filter(s -> now - s.lastAnswerAt > DOWN_AFTER_MICROS).forEach(s -> s.down = true);
+            zoneServers.stream().filter(s -> now - s.lastAnswerAt > DOWN_AFTER_MICROS)
+                    .forEach(s -> s.down = true);
         }
         zoneServers.stream().filter(s -> s.down).forEach(s -> s.share = 0);
     }
@@ -470,7 +481,8 @@
         if (server != null && !Double.isNaN(report.cpuUtilization()) && server.coldSince == 0) {
             ModelStats stats = server.modelStats;
             stats.reportedSinceResize = true;
-            stats.cpuUtilization += (stats.reportCount++ == 0 ? 1 : CPU_EWMA_WEIGHT) * (report.cpuUtilization() - stats.cpuUtilization);
+            stats.cpuUtilization += (stats.reportCount++ == 0 ? 1 : CPU_EWMA_WEIGHT)
+                    * (report.cpuUtilization() - stats.cpuUtilization);
         }
         if (server != null && !Double.isNaN(report.queuedRequests())) {
             server.reportedQueue = report.queuedRequests();
@@ -487,12 +499,14 @@
         }
         boolean fresh = listedLoadsAreFresh(now);
         for (Server server : servers.values()) {
-            boolean idle = 2 * server.host.weight() > server.modelStats.maxWeight;  // under one request per core
+            // under one request per core
+            boolean idle = 2 * server.host.weight() > server.modelStats.maxWeight;
             if (!fresh || server.coldSince == 0) {
                 server.coldRateFactor = 1;
             } else if (newList) {
                 double factor = server.coldRateFactor * (idle ? COLD_RATE_INCREASE : COLD_RATE_DECREASE);
-                server.coldRateFactor = Math.max(1, Math.min(settings.guarantees().overloadMultiple(), factor));
+                server.coldRateFactor =
+                        Math.max(1, Math.min(settings.guarantees().overloadMultiple(), factor));
             }
         }
         double meanLoad = servers.values().stream()
@@ -542,16 +556,20 @@
         int ownSamples = server.ownSampleCount;
         ModelStats stats = server.modelStats;
         double modelP95 = stats.sampleCount == 0 ? 1 : stats.weightedP95Sum / stats.sampleCount;
-        double blended = (ownSamples * server.ownP95 + PRIOR_SAMPLES * (modelP95 + (ownSamples == 0 ? server.probeRoundTrip : 0))) / (ownSamples + PRIOR_SAMPLES);
+        double blended = (ownSamples * server.ownP95
+                + PRIOR_SAMPLES * (modelP95 + (ownSamples == 0 ? server.probeRoundTrip : 0)))
+                / (ownSamples + PRIOR_SAMPLES);
         server.responseTime = isFailing(server) ? UNBOUNDED_LATENCY : blended;
-        server.successFraction = (ownSamples + PRIOR_SAMPLES) / (ownSamples + server.ownFailureCount + PRIOR_SAMPLES);
+        server.successFraction = (ownSamples + PRIOR_SAMPLES)
+                / (ownSamples + server.ownFailureCount + PRIOR_SAMPLES);
     }
 
     /** Whether failures exceed MAX_FAILURE_FRACTION by more than chance explains. Where the whole fleet
         fails more, as in an overload, the limit rises with it: emptying S* would overload the servers left
         in it. */
     private boolean isFailing(Server server) {
-        double expected = Math.max(MAX_FAILURE_FRACTION, OUTLIER_FACTOR * fleetFailureFraction) * (server.ownSampleCount + server.ownFailureCount);
+        double expected = Math.max(MAX_FAILURE_FRACTION, OUTLIER_FACTOR * fleetFailureFraction)
+                * (server.ownSampleCount + server.ownFailureCount);
         return server.ownFailureCount - 1 > expected + Math.sqrt(expected);
     }
 
@@ -562,16 +580,20 @@
     private void refresh(long now) {
         double seconds = Math.max(1, now - refreshedAt) / 1e6;
         refreshedAt = now;
-        minAdmissionSamples += REFRESH_EWMA_WEIGHT * (Math.max(MIN_SAMPLES_QUIET, Math.min(MIN_SAMPLES_BUSY, arrivedRequests)) - minAdmissionSamples);
-        newKeyFraction += arrivedRequests == 0 ? 0 : REFRESH_EWMA_WEIGHT * ((double) arrivedWithNewKey / arrivedRequests - newKeyFraction);
+        minAdmissionSamples += REFRESH_EWMA_WEIGHT * (Math.max(MIN_SAMPLES_QUIET,
+                Math.min(MIN_SAMPLES_BUSY, arrivedRequests)) - minAdmissionSamples);
+        newKeyFraction += arrivedRequests == 0 ? 0
+                : REFRESH_EWMA_WEIGHT * ((double) arrivedWithNewKey / arrivedRequests - newKeyFraction);
         arrivedRequests = arrivedWithNewKey = 0;
         modelStats.values().forEach(ModelStats::resetSums);
         for (Server server : servers.values()) {
-            if (server.unansweredSends >= SILENT_ATTEMPTS && now - server.unansweredSince > DOWN_AFTER_MICROS && !server.down) {
+            if (server.unansweredSends >= SILENT_ATTEMPTS && now - server.unansweredSince > DOWN_AFTER_MICROS
+                    && !server.down) {
                 markDown(now, server);
             }
             summarizeSamples(now, server);
-            long oldest = server.inFlight.stream().filter(a -> a.sentAt > server.overtakenSentAt && !a.streaming)
+            long oldest = server.inFlight.stream()
+                    .filter(a -> a.sentAt > server.overtakenSentAt && !a.streaming)
                     .findFirst().map(a -> now - a.sentAt).orElse(0L);
             if (oldest > estimatedQueueWait(now, server)) {
                 setQueueWait(now, server, oldest);
@@ -586,8 +608,10 @@
         }
         for (ModelStats stats : modelStats.values()) {
             double rate = stats.warmServers == 0 ? 0 : stats.deliveredCount / stats.warmServers / seconds;
-            double weight = rate > stats.deliveredPerSecond ? REFRESH_EWMA_WEIGHT : REFRESH_INTERVAL_MICROS / (double) settings.guarantees().warmUpTime();
-            stats.deliveredPerSecond += stats.warmServers == 0 ? 0 : weight * (rate - stats.deliveredPerSecond);
+            double weight = rate > stats.deliveredPerSecond ? REFRESH_EWMA_WEIGHT
+                    : REFRESH_INTERVAL_MICROS / (double) settings.guarantees().warmUpTime();
+            stats.deliveredPerSecond += stats.warmServers == 0 ? 0
+                    : weight * (rate - stats.deliveredPerSecond);
         }
         updateListedLoads(now, false);
         if (now > idleLimitExpiresAt) {
@@ -597,7 +621,8 @@
         resizeModels();
         servers.values().forEach(this::estimateResponseTime);
         updateThreshold();
-        double rise = Math.max(SHARE_RISE_PER_REFRESH, REFRESH_INTERVAL_MICROS / (double) settings.guarantees().warmUpTime());
+        double rise = Math.max(SHARE_RISE_PER_REFRESH,
+                REFRESH_INTERVAL_MICROS / (double) settings.guarantees().warmUpTime());
         double decay = Math.min(1, RECENT_SENDS_PER_SERVER * servers.size() / Math.max(1, totalRecentSends));
         totalRecentSends = 0;
         totalShare = 0;
@@ -613,8 +638,10 @@
             server.recentSends *= decay;
             totalRecentSends += server.recentSends;
         }
-        long sampled = servers.values().stream().filter(s -> s.ownSampleCount + s.ownFailureCount > 0).count();
-        manyServersFull = servers.values().stream().filter(s -> isFull(now, s)).count() > MANY_FULL_FRACTION * sampled;
+        long sampled = servers.values().stream()
+                .filter(s -> s.ownSampleCount + s.ownFailureCount > 0).count();
+        manyServersFull = servers.values().stream().filter(s -> isFull(now, s)).count()
+                > MANY_FULL_FRACTION * sampled;
         updateFleetPressure(now);
         expireSessions(now);
         logRefusals(now);
@@ -622,7 +649,8 @@
 
     /** Logs for operators why requests were refused; at most one line in REFRESHES_PER_LOG_LINE refreshes. */
     private void logRefusals(long now) {
-        if (++refreshCount % REFRESHES_PER_LOG_LINE != 0 || refusedByPressure + withoutServer + notRetried == 0) {
+        if (++refreshCount % REFRESHES_PER_LOG_LINE != 0
+                || refusedByPressure + withoutServer + notRetried == 0) {
             return;
         }
         long up = servers.values().stream().filter(s -> s.host.state() == HostState.IN_SERVICE).count();
@@ -630,10 +658,11 @@
         long down = servers.values().stream().filter(s -> s.down).count();
         long cold = servers.values().stream().filter(s -> s.coldSince > 0).count();
         long full = servers.values().stream().filter(s -> isFull(now, s)).count();
-        actions.log("turned away: " + refusedByPressure + " by pressure, " + withoutServer + " with no host, " + notRetried
+        actions.log("turned away: " + refusedByPressure + " by pressure, "
+                + withoutServer + " with no host, " + notRetried
                 + " after a failed attempt; pressure " + Math.round(100 * fleetPressure) + "%; hosts "
-                + servers.size() + ": " + up + " up, " + eligible + " in S*, " + down + " down, " + cold + " cold, "
-                + full + " full");
+                + servers.size() + ": " + up + " up, " + eligible + " in S*, " + down + " down, "
+                + cold + " cold, " + full + " full");
         refusedByPressure = withoutServer = notRetried = 0;
     }
 
@@ -645,19 +674,23 @@
             return;
         }
         modelStats.values().forEach(k -> k.reportedSinceResize = false);
-        double meanCpu = modelStats.values().stream().filter(k -> k.reportCount > 0).mapToDouble(k -> k.cpuUtilization)
-                .average().orElse(0);
+        double meanCpu = modelStats.values().stream().filter(k -> k.reportCount > 0)
+                .mapToDouble(k -> k.cpuUtilization).average().orElse(0);
         for (ModelStats stats : modelStats.values()) {
             if (stats.reportCount > 0 && meanCpu > 0) {
-                double change = Math.pow(meanCpu / Math.max(stats.cpuUtilization, meanCpu / MAX_SIZE_RATIO), RESIZE_EXPONENT);
-                stats.relativeSize = Math.max(1 / MAX_SIZE_RATIO, Math.min(MAX_SIZE_RATIO, stats.relativeSize * change));
+                double change = Math.pow(meanCpu / Math.max(stats.cpuUtilization, meanCpu / MAX_SIZE_RATIO),
+                        RESIZE_EXPONENT);
+                stats.relativeSize = Math.max(1 / MAX_SIZE_RATIO,
+                        Math.min(MAX_SIZE_RATIO, stats.relativeSize * change));
             }
         }
     }
 
     private double medianFailureFraction() {
-        double[] fractions = servers.values().stream().filter(s -> !s.down && s.ownSampleCount + s.ownFailureCount > 0)
-                .mapToDouble(s -> (double) s.ownFailureCount / (s.ownSampleCount + s.ownFailureCount)).sorted().toArray();
+        double[] fractions = servers.values().stream()
+                .filter(s -> !s.down && s.ownSampleCount + s.ownFailureCount > 0)
+                .mapToDouble(s -> (double) s.ownFailureCount / (s.ownSampleCount + s.ownFailureCount))
+                .sorted().toArray();
         return fractions.length == 0 ? 0 : fractions[fractions.length / 2];
     }
 
@@ -674,10 +707,14 @@
         double systemThreshold = UNBOUNDED_LATENCY;
         tightestRelativeTarget = UNBOUNDED_LATENCY;
         for (int i = 0; i < typicalLatency.length; i++) {
-            systemThreshold = Math.min(systemThreshold, settings.classes().get(i).deadline() / typicalLatency[i]);
-            tightestRelativeTarget = Math.min(tightestRelativeTarget, settings.classes().get(i).latencyTarget() / typicalLatency[i]);
+            systemThreshold = Math.min(systemThreshold,
+                    settings.classes().get(i).deadline() / typicalLatency[i]);
+            tightestRelativeTarget = Math.min(tightestRelativeTarget,
+                    settings.classes().get(i).latencyTarget() / typicalLatency[i]);
         }
-        threshold = systemThreshold * Math.ceil(responseTimes[(int) (BEST_RESPONSE_QUANTILE * responseTimes.length)] * 1.01 / systemThreshold);
+        threshold = systemThreshold * Math.ceil(
+                responseTimes[(int) (BEST_RESPONSE_QUANTILE * responseTimes.length)] * 1.01
+                / systemThreshold);
     }
 
     /** The share a server should have: its headroom (theta - resp_time(s)) / theta, times its size, its
@@ -688,8 +725,10 @@
             return 0;
         }
         double zoneFactor = zoneFactor(server.host.zone());
-        double size = zoneFactor * server.modelStats.relativeSize * (weightsAreSizes ? server.host.weight() : 1);
-        return (threshold - server.responseTime) / threshold * size * warmFraction(now, server) * server.successFraction;
+        double size = zoneFactor * server.modelStats.relativeSize
+                * (weightsAreSizes ? server.host.weight() : 1);
+        return (threshold - server.responseTime) / threshold * size * warmFraction(now, server)
+                * server.successFraction;
     }
 
     /** Lower for another zone, as crossing zones costs time and a penalty; the less so the busier the own
@@ -697,7 +736,8 @@
         idle. */
     private double zoneFactor(String zone) {
         String ownZone = settings.topology().zone();
-        double loadRatio = (1 + zoneLoads.getOrDefault(ownZone, 0.0)) / (1 + zoneLoads.getOrDefault(zone, 0.0));
+        double loadRatio = (1 + zoneLoads.getOrDefault(ownZone, 0.0))
+                / (1 + zoneLoads.getOrDefault(zone, 0.0));
         return zone.equals(ownZone) ? 1 : REMOTE_ZONE_FACTOR * loadRatio;
     }
 
@@ -723,7 +763,8 @@
                 continue;
             }
             candidates++;
-            double load = relativeLoad(now, server) + (req.withinQuota ? Math.max(0, queuePressure(now, server)) : 0);
+            double load = relativeLoad(now, server)
+                    + (req.withinQuota ? Math.max(0, queuePressure(now, server)) : 0);
             if (load <= 1) {
                 return server;
             }
@@ -743,7 +784,8 @@
         double inFlight = server.inFlight.size() + freshReportedQueue(now, server) + 1;
         double sharePart = server.share / Math.max(totalShare, 1e-9);
         double recentLoad = (server.recentSends + 1) / (totalRecentSends * sharePart + 1);
-        double inFlightLoad = inFlight <= 2 ? inFlight / 2 : inFlight / Math.max((totalInFlight + totalQueue + 1) * sharePart, 1);
+        double inFlightLoad = inFlight <= 2 ? inFlight / 2
+                : inFlight / Math.max((totalInFlight + totalQueue + 1) * sharePart, 1);
         return Math.max(recentLoad / RECENT_SENDS_BOUND, inFlightLoad / IN_FLIGHT_BOUND);
     }
 
@@ -808,7 +850,8 @@
         int allCount = 0;
         for (int i = admissionSampleCount - 1; i >= admissionSampleCount - available; i--) {
             long age = now - admissionSampleTimes[i % ADMISSION_SAMPLES];
-            if (age >= ADMISSION_WINDOW_MICROS && (allCount >= minAdmissionSamples || age >= MAX_ADMISSION_WINDOW_MICROS)) {
+            if (age >= ADMISSION_WINDOW_MICROS
+                    && (allCount >= minAdmissionSamples || age >= MAX_ADMISSION_WINDOW_MICROS)) {
                 break;
             }
             allLateness[allCount++] = admissionSamples[i % ADMISSION_SAMPLES];
@@ -826,14 +869,17 @@
                 }
             }
         }
-        double tailLateness = Math.max(quantile(deliveredLateness, deliveredCount, 0.95), quantile(allLateness, allCount, 0.5));
-        fleetPressure = Math.max(0, Math.min(1, (tailLateness - REFUSAL_START_LATENESS) / (FULL_REFUSAL_LATENESS - REFUSAL_START_LATENESS)));
+        double tailLateness = Math.max(quantile(deliveredLateness, deliveredCount, 0.95),
+                quantile(allLateness, allCount, 0.5));
+        fleetPressure = Math.max(0, Math.min(1,
+                (tailLateness - REFUSAL_START_LATENESS) / (FULL_REFUSAL_LATENESS - REFUSAL_START_LATENESS)));
     }
 
     /** Sorts the first {@code count} values; 0 for too few. The highest value is never taken. */
     private double quantile(double[] values, int count, double quantile) {
         Arrays.sort(values, 0, count);
-        return count < minAdmissionSamples ? 0 : values[Math.min(count - 2, (int) Math.ceil(quantile * count) - 1)];
+        return count < minAdmissionSamples ? 0
+                : values[Math.min(count - 2, (int) Math.ceil(quantile * count) - 1)];
     }
 
     /** Elapsed time relative to the latency target up to 1, then 1 plus the fraction of the way from the
@@ -841,7 +887,8 @@
     private static double lateness(long now, OpenRequest req) {
         double waited = now - req.arrivedAt;
         long target = req.requestClass.latencyTarget();
-        return waited <= target ? waited / target : 1 + (waited - target) / Math.max(1, req.requestClass.deadline() - target);
+        return waited <= target ? waited / target
+                : 1 + (waited - target) / Math.max(1, req.requestClass.deadline() - target);
     }
 
     /** The higher of the fleet's pressure and that of the server's queue, at most 1. */
@@ -863,7 +910,8 @@
         ways. The queue wait comes from the shortest answers: long requests raise a percentile, but only a
         queue raises the shortest answer. */
     private double queuePressure(long now, Server server) {
-        return (estimatedQueueWait(now, server) / tightestTarget - QUEUE_REFUSAL_START) / (QUEUE_FULL_REFUSAL - QUEUE_REFUSAL_START);
+        return (estimatedQueueWait(now, server) / tightestTarget - QUEUE_REFUSAL_START)
+                / (QUEUE_FULL_REFUSAL - QUEUE_REFUSAL_START);
     }
 
     /** Sets the queue wait to the shortest of ANSWERS_PER_WAIT answers; a shorter answer counts at once. */
@@ -895,13 +943,17 @@
         leaves. That depends on the fraction of new keys: where nearly all requests have a session, too few
         would be refused before hosts are overloaded. Classes of higher value are refused less. Takes a token
         for a request within quota that is admitted. */
-    private boolean shouldRefuse(long now, OpenRequest req, TenantQuota quota, boolean hasSession, Server server) {
+    private boolean shouldRefuse(long now, OpenRequest req, TenantQuota quota, boolean hasSession,
+            Server server) {
         boolean overQuota = quota != null && !req.withinQuota;
         double pressure = serverPressure(now, server);
-        double ownPressure = quota == null ? pressure : Math.max(0, (pressure - IN_QUOTA_PRESSURE_START) / (1 - IN_QUOTA_PRESSURE_START));
+        double ownPressure = quota == null ? pressure
+                : Math.max(0, (pressure - IN_QUOTA_PRESSURE_START) / (1 - IN_QUOTA_PRESSURE_START));
         double chance = overQuota ? OVER_QUOTA_REFUSAL_FACTOR * pressure
-                : hasSession ? (ownPressure - newKeyFraction) / Math.max(1e-9, 1 - newKeyFraction) : ownPressure / Math.max(1e-9, newKeyFraction);
-        if (chance > 0 && random.nextDouble() < chance * (1.2 - 0.4 * req.requestClass.value() / maxClassValue)) {
+                : hasSession ? (ownPressure - newKeyFraction) / Math.max(1e-9, 1 - newKeyFraction)
+                : ownPressure / Math.max(1e-9, newKeyFraction);
+        if (chance > 0
+                && random.nextDouble() < chance * (1.2 - 0.4 * req.requestClass.value() / maxClassValue)) {
             return true;
         }
         if (quota != null && !overQuota) {
@@ -941,7 +993,8 @@
         allow are closed before the send. Where those had another cause, this costs a handshake; the limit
         expires. */
     private void closeStaleConnections(long now, Server server, Attempt attempt) {
-        long idleTime = server.inFlight.size() > 1 || server.lastDeliveryAt == 0 ? 0 : now - server.lastDeliveryAt;
+        long idleTime = server.inFlight.size() > 1 || server.lastDeliveryAt == 0 ? 0
+                : now - server.lastDeliveryAt;
         if (idleTime >= idleLimit) {
             actions.closeIdleConnections(server.host.address());
         } else if (idleTime < settings.connections().idleTimeout()) {
@@ -953,14 +1006,16 @@
         limit is lowered to each at which half of the attempts were lost, and far more than on busy
         connections (bucket 0), once about two were lost. */
     private void recordIdleOutcome(long now, Attempt attempt, boolean lost) {
-        int bucket = attempt.connectionIdleTime <= 0 ? 0 : 63 - Long.numberOfLeadingZeros(attempt.connectionIdleTime);
+        int bucket = attempt.connectionIdleTime <= 0 ? 0
+                : 63 - Long.numberOfLeadingZeros(attempt.connectionIdleTime);
         idleLosses[bucket] = (lost ? 1 : 0) + idleLosses[bucket] * IDLE_LOSS_DECAY;
         idleUses[bucket] = 1 + idleUses[bucket] * IDLE_LOSS_DECAY;
         double minLossFraction = Math.max(0.5, OUTLIER_FACTOR * idleLosses[0] / Math.max(1, idleUses[0]));
         double losses = 0;
         for (int i = idleLosses.length - 1; lost && i > 0; i--) {
             losses += idleLosses[i];
-            if (idleLosses[i] > 0.5 && idleLosses[i] >= minLossFraction * idleUses[i] && losses > 1.5 && 1L << i < idleLimit) {
+            if (idleLosses[i] > 0.5 && idleLosses[i] >= minLossFraction * idleUses[i] && losses > 1.5
+                    && 1L << i < idleLimit) {
                 idleLimit = 1L << i;
                 idleLimitExpiresAt = now + SESSION_TTL_MICROS * 2;
             }
@@ -993,7 +1048,8 @@
             if (attempt.neverRan || req.requestClass.idempotency() == Idempotency.SAFE) {
                 continue;
             }
-            if (req.requestClass.idempotency() == Idempotency.UNSAFE || now - attempt.sentAt >= req.requestClass.dedupWindow()
+            if (req.requestClass.idempotency() == Idempotency.UNSAFE
+                    || now - attempt.sentAt >= req.requestClass.dedupWindow()
                     || !inSameDedupScope(req.requestClass.dedupScope(), attempt.server.host, server.host)) {
                 return false;
             }
@@ -1012,7 +1068,8 @@
     /** Gives the final answer: a refusal where a new try is known to do no harm, else a failure. */
     private void refuseOrFail(OpenRequest req) {
         boolean harmless = req.requestClass.idempotency() == Idempotency.SAFE
-                || req.requestClass.idempotency() == Idempotency.KEYED && req.requestClass.dedupScope() == DedupScope.ALL
+                || req.requestClass.idempotency() == Idempotency.KEYED
+                && req.requestClass.dedupScope() == DedupScope.ALL
                 || req.attempts.stream().allMatch(a -> a.neverRan);
         if (harmless) {
             actions.refuse(req.id,
@@ -1047,12 +1104,15 @@
         if (server.coldSince == 0 || warmFraction(now, server) == 1) {
             return true;
         }
-        double rate = COLD_RATE_FRACTION * server.coldRateFactor * warmFraction(now, server) * warmRateOfModel(server);
+        double rate = COLD_RATE_FRACTION * server.coldRateFactor * warmFraction(now, server)
+                * warmRateOfModel(server);
         double maxBudget = Math.max(1, rate * settings.guarantees().overloadWindow() / 2e6);
-        server.coldBudget = Math.min(maxBudget, server.coldBudget + rate * (now - server.coldBudgetUpdatedAt) / 1e6);
+        server.coldBudget = Math.min(maxBudget,
+                server.coldBudget + rate * (now - server.coldBudgetUpdatedAt) / 1e6);
         server.coldBudgetUpdatedAt = now;
         double maxUnanswered = 2 * rate * typicalLatency[req.classIndex] / 1e6;
-        return server.coldBudget >= 1 && (server.unansweredSends == 0 || server.unansweredSends < maxUnanswered
+        return server.coldBudget >= 1
+                && (server.unansweredSends == 0 || server.unansweredSends < maxUnanswered
                 || now - server.lastSendAt >= settings.guarantees().overloadWindow());
     }
 
@@ -1063,7 +1123,8 @@
         started, or all warm hosts may be overloaded. */
     private double warmRateOfModel(Server server) {
         double modelRate = server.modelStats.deliveredPerSecond > 0 ? server.modelStats.deliveredPerSecond
-                : modelStats.values().stream().filter(k -> k.deliveredPerSecond > 0).mapToDouble(k -> k.deliveredPerSecond).min().orElse(0);
+                : modelStats.values().stream().filter(k -> k.deliveredPerSecond > 0)
+                .mapToDouble(k -> k.deliveredPerSecond).min().orElse(0);
         double oneCore = 1e6 / Arrays.stream(typicalLatency).max().orElse(1e6);
         return Math.max(modelRate, oneCore / settings.topology().gatewayCount());
     }
@@ -1079,7 +1140,8 @@
             return 1;
         }
         double initialFraction = settings.guarantees().coldCapacityFraction();
-        return initialFraction + (1 - initialFraction) * (now - server.coldSince) / settings.guarantees().warmUpTime();
+        return initialFraction
+                + (1 - initialFraction) * (now - server.coldSince) / settings.guarantees().warmUpTime();
     }
 
     /** Treats a host as cold from {@code since} on, unless that ended already. */
@@ -1173,11 +1235,14 @@
     private long listRequestBackoff(long now) {
         Guarantees guarantees = settings.guarantees();
         boolean pushed = !settings.listOnRequest();
-        long longest = pushed ? Math.min(MAX_BACKOFF_MICROS, guarantees.drainGrace() / 2) : MAX_BACKOFF_MICROS;
-        long shortest = Math.min(longest / 2, pushed ? REFRESH_INTERVAL_MICROS / 2 : guarantees.listRequestDeadline() / 8);
+        long longest = pushed ? Math.min(MAX_BACKOFF_MICROS, guarantees.drainGrace() / 2)
+                : MAX_BACKOFF_MICROS;
+        long shortest = Math.min(longest / 2,
+                pushed ? REFRESH_INTERVAL_MICROS / 2 : guarantees.listRequestDeadline() / 8);
         boolean failedAtOnce = now - lastListRequestAt < MAX_BACKOFF_MICROS;
         // The shift is bounded: after 63 failures the delay would be negative and the requests would end.
-        long delay = failedAtOnce ? Math.min(longest, shortest << Math.min(3, listRequestFailures - 1)) : shortest;
+        long delay = failedAtOnce ? Math.min(longest, shortest << Math.min(3, listRequestFailures - 1))
+                : shortest;
         return Math.max(MIN_BACKOFF_MICROS, delay);
     }
 
--- a/src/main/java/mastdrift/wire/Adapter.java
+++ b/src/main/java/mastdrift/wire/Adapter.java
@@ -333,7 +333,8 @@
 
         @Override
         public void sendToPeer(int peer, byte[] message) {
-            startLine("notify").append(peer < 0 ? "*" : "" + peer).append(' ').append(FieldReader.hex(message)).append('\n');
+            startLine("notify").append(peer < 0 ? "*" : "" + peer).append(' ').append(FieldReader.hex(message))
+                    .append('\n');
         }
 
         @Override
--- a/src/main/java/mastdrift/wire/SettingsParser.java
+++ b/src/main/java/mastdrift/wire/SettingsParser.java
@@ -56,44 +56,50 @@
         List<Tenant> tenants = new ArrayList<>();
         for (int i = 0; i < number("tenants.count", 0); i++) {
             String path = "tenants." + i + ".";
-            tenants.add(new Tenant(string(path + "name"), decimal(path + "fraction", 0), decimal(path + "quota_per_s")));
+            tenants.add(new Tenant(string(path + "name"), decimal(path + "fraction", 0),
+                    decimal(path + "quota_per_s")));
         }
         boolean listOnRequest = wordIndex("registry_mode", "pushed", "on_request") == 1;
         Limits limits = new Limits(bool("allowed.cancel"), bool("allowed.probes"), bool("allowed.parallel_tries"),
                 bool("allowed.may_tell", false), integer("allowed.max_attempts"),
                 integer("allowed.max_open", Integer.MAX_VALUE), bool("allowed.retry_after"),
                 number("allowed.max_retry_after"));
-        ConnectionSettings connections = new ConnectionSettings(number("allowed.dial_timeout"), number("allowed.conn_idle", Long.MAX_VALUE),
-                integer("allowed.streams_per_conn", 1));
-        CpuBudget cpu = new CpuBudget(number("allowed.cpu_us_per_s", Long.MAX_VALUE), decimal("allowed.cpu_us_per_request", 0));
-        Guarantees guarantees = new Guarantees(number("guarantees.answer_slack", 0), number("guarantees.drain_grace", 0),
-                listOnRequest ? number("guarantees.must_ask_in") : 0, decimal("guarantees.cold_from"),
+        ConnectionSettings connections = new ConnectionSettings(number("allowed.dial_timeout"),
+                number("allowed.conn_idle", Long.MAX_VALUE), integer("allowed.streams_per_conn", 1));
+        CpuBudget cpu = new CpuBudget(number("allowed.cpu_us_per_s", Long.MAX_VALUE),
+                decimal("allowed.cpu_us_per_request", 0));
+        Guarantees guarantees = new Guarantees(number("guarantees.answer_slack", 0),
+                number("guarantees.drain_grace", 0), listOnRequest ? number("guarantees.must_ask_in") : 0,
+                decimal("guarantees.cold_from"),
                 number("guarantees.warm_within"), decimal("guarantees.tip_multiple"), number("guarantees.fall"));
-        Topology topology = new Topology(integer("me", 0), integer("balancers"), string("locality"), list("dcs"), list("skus"),
-                integer("layer", 0), list("stages"));
+        Topology topology = new Topology(integer("me", 0), integer("balancers"), string("locality"), list("dcs"),
+                list("skus"), integer("layer", 0), list("stages"));
         boolean valueByWork = values.containsKey("worth_by") && wordIndex("worth_by", "request", "work") == 1;
         Scoring scoring = new Scoring(scoreWeights(), penalties(), decimal("over_share_worth", 1), valueByWork);
         LoadReportMode loadReportMode = values.containsKey("stats.how")
                 ? LoadReportMode.values()[wordIndex("stats.how", "inline", "on_probe", "off")] : LoadReportMode.OFF;
-        Capabilities capabilities = new Capabilities(bool("family_info.warm_keys", false), bool("family_info.passes_deadline", false),
-                loadReportMode, list("stats.names"), bool("client_habits.marks_retry", false));
+        Capabilities capabilities = new Capabilities(bool("family_info.warm_keys", false),
+                bool("family_info.passes_deadline", false), loadReportMode, list("stats.names"),
+                bool("client_habits.marks_retry", false));
         WeightMode weightMode = WeightMode.values()[wordIndex("weights", "off", "nominal", "rough", "live")];
-        return new Settings(classes, tenants, limits, connections, cpu, guarantees, scoring, topology, capabilities, listOnRequest, weightMode,
-                values.getOrDefault("service_type", ""), number("resolution", 0), seed);
+        return new Settings(classes, tenants, limits, connections, cpu, guarantees, scoring, topology, capabilities,
+                listOnRequest, weightMode, values.getOrDefault("service_type", ""), number("resolution", 0), seed);
     }
 
     private RequestClass requestClass(String path) {
-        Idempotency idempotency = Idempotency.values()[wordIndex(path + "repeat", "read_like", "idempotency_key", "non_idempotent")];
+        Idempotency idempotency = Idempotency.values()[wordIndex(path + "repeat", "read_like", "idempotency_key",
+                "non_idempotent")];
         boolean keyed = idempotency == Idempotency.KEYED;
-        DedupScope dedupScope = keyed ? DedupScope.values()[wordIndex(path + "group", "all", "zone", "cell")] : DedupScope.ALL;
+        DedupScope dedupScope = keyed ? DedupScope.values()[wordIndex(path + "group", "all", "zone", "cell")]
+                : DedupScope.ALL;
         return new RequestClass(string(path + "name"), number(path + "target"), decimal(path + "aim_stretch", 0),
-                number(path + "deadline"), decimal(path + "credit"), decimal(path + "late_share"), idempotency, dedupScope,
-                keyed ? number(path + "dedup_window") : 0, bool(path + "stream", false));
+                number(path + "deadline"), decimal(path + "credit"), decimal(path + "late_share"), idempotency,
+                dedupScope, keyed ? number(path + "dedup_window") : 0, bool(path + "stream", false));
     }
 
     private ScoreWeights scoreWeights() {
-        return new ScoreWeights(decimal("goal.whole", 1), decimal("goal.worst_window", 0), decimal("goal.worst_class", 0),
-                decimal("goal.worst_tenant", 0));
+        return new ScoreWeights(decimal("goal.whole", 1), decimal("goal.worst_window", 0),
+                decimal("goal.worst_class", 0), decimal("goal.worst_tenant", 0));
     }
 
     private Penalties penalties() {
@@ -167,8 +173,8 @@
         return values.containsKey(path) ? bool(path) : fallback;
     }
 
-    /** The index of the value at a path among the words that are allowed there. The words of an enum are in the order of
-        its constants. */
+    /** The index of the value at a path among the words that are allowed there. The words of an enum are in the order
+        of its constants. */
     private int wordIndex(String path, String... words) {
         int found = List.of(words).indexOf(string(path));
         if (found < 0) {
--- a/src/test/java/mastdrift/AdmissionTest.java
+++ b/src/test/java/mastdrift/AdmissionTest.java
@@ -82,7 +82,8 @@
                 gateway.endAttempt(lost.poll(), Outcome.EXPIRED);
             }
         }
-        long refusedWithoutSend = gateway.refused.stream().filter(r -> gateway.sendsOf(Long.parseLong(r)).isEmpty()).count();
+        long refusedWithoutSend = gateway.refused.stream().filter(r -> gateway.sendsOf(Long.parseLong(r)).isEmpty())
+                .count();
         assertTrue(refusedWithoutSend < 300, "refused at once: " + refusedWithoutSend);
     }
 
--- a/src/test/java/mastdrift/ColdFleetTest.java
+++ b/src/test/java/mastdrift/ColdFleetTest.java
@@ -48,7 +48,9 @@
         }
 
         double warmFraction(long now) {
-            return startedAt == 0 ? 1 : Math.min(1, GUARANTEES.coldCapacityFraction() + (1 - GUARANTEES.coldCapacityFraction()) * (now - startedAt) / GUARANTEES.warmUpTime());
+            return startedAt == 0 ? 1
+                    : Math.min(1, GUARANTEES.coldCapacityFraction()
+                    + (1 - GUARANTEES.coldCapacityFraction()) * (now - startedAt) / GUARANTEES.warmUpTime());
         }
 
         /** Queues a request that comes now; returns when it will have been served. */
@@ -70,19 +72,22 @@
             while (arrivals.peek() <= now - GUARANTEES.overloadWindow()) {
                 arrivals.poll();
             }
-            double budget = GUARANTEES.overloadMultiple() * requestsPerSecond * warmFraction(now) * GUARANTEES.overloadWindow() / 1e6;
+            double budget = GUARANTEES.overloadMultiple() * requestsPerSecond * warmFraction(now)
+                    * GUARANTEES.overloadWindow() / 1e6;
             return arrivals.size() - (budget + 2 * Math.sqrt(budget) + 2);
         }
     }
 
     /** An attempt that is due to be written to a host, or to end there. */
-    private record PendingStep(long at, TestGateway gateway, TestGateway.Sent sent, SimulatedHost host, boolean isWrite) { }
+    private record PendingStep(long at, TestGateway gateway, TestGateway.Sent sent, SimulatedHost host,
+            boolean isWrite) { }
 
     /** A fleet with little traffic, then a burst; the last host restarts before the burst. */
     private static final class Fleet {
         private final List<TestGateway> gateways = new ArrayList<>();
         private final List<SimulatedHost> simulatedHosts = new ArrayList<>();
-        private final PriorityQueue<PendingStep> pendingSteps = new PriorityQueue<>(Comparator.comparingLong(PendingStep::at));
+        private final PriorityQueue<PendingStep> pendingSteps =
+                new PriorityQueue<>(Comparator.comparingLong(PendingStep::at));
         private final Random random;
         private final int gatewayCount;
         private final int hostCount;
@@ -100,7 +105,8 @@
             this.weightMode = weightMode;
             random = new Random(7);
             IntStream.range(0, hostCount).forEach(i -> simulatedHosts.add(new SimulatedHost(rate)));
-            IntStream.range(0, gatewayCount).forEach(i -> gateways.add(startGateway(i, SECOND_MICROS, random.nextLong())));
+            IntStream.range(0, gatewayCount)
+                    .forEach(i -> gateways.add(startGateway(i, SECOND_MICROS, random.nextLong())));
         }
 
         private TestGateway startGateway(int instanceIndex, long now, long seed) {
@@ -118,7 +124,8 @@
 
         private Host[] hostList(long now) {
             return IntStream.range(0, hostCount).mapToObj(i -> new Host("h" + i, "z0", 0, "std",
-                    weightMode == WeightMode.LIVE ? 1 / (1 + simulatedHosts.get(i).requestsInProgress(now)) : 1, HostState.IN_SERVICE, simulatedHosts.get(i).startedAt))
+                    weightMode == WeightMode.LIVE ? 1 / (1 + simulatedHosts.get(i).requestsInProgress(now)) : 1,
+                    HostState.IN_SERVICE, simulatedHosts.get(i).startedAt))
                     .toArray(Host[]::new);
         }
 
@@ -141,7 +148,8 @@
                 for (int i = 0; i < gatewayCount; i++) {
                     TestGateway gateway = gateways.get(i);
                     gateway.advance(now - gateway.now);
-                    double mean = rate * (scenario != Scenario.UNEQUAL_TRAFFIC ? 1 : i % 5 == 0 ? 3 : 0.5) * STEP_MICROS / 1e6;
+                    double mean = rate * (scenario != Scenario.UNEQUAL_TRAFFIC ? 1 : i % 5 == 0 ? 3 : 0.5)
+                            * STEP_MICROS / 1e6;
                     for (double left = exponential(); left < mean; left += exponential()) {
                         int before = gateway.sent.size();
                         gateway.request(random.nextLong());  // new keys, as those with a session stay at their host
@@ -219,9 +227,11 @@
                     fleet.run(0.3, burstLoad);
                     String description = scenario + " " + weightMode + ", " + rate + " requests a second and host: ";
                     assertTrue(fleet.sentToColdHost > 0, description + "nothing sent to the cold host");
-                    assertTrue(fleet.maxOverBudget <= 0, description + "requests over the budget: " + fleet.maxOverBudget);
+                    assertTrue(fleet.maxOverBudget <= 0,
+                            description + "requests over the budget: " + fleet.maxOverBudget);
                     if (scenario == Scenario.PLAIN && weightMode == WeightMode.LIVE && burstLoad <= 1) {
-                        assertTrue(2 * fleet.sentToColdHost >= fleet.coldHostCapacity, description + "sent " + fleet.sentToColdHost + " of " + fleet.coldHostCapacity);
+                        assertTrue(2 * fleet.sentToColdHost >= fleet.coldHostCapacity,
+                                description + "sent " + fleet.sentToColdHost + " of " + fleet.coldHostCapacity);
                     }
                 }
             }
--- a/src/test/java/mastdrift/ColdHostTest.java
+++ b/src/test/java/mastdrift/ColdHostTest.java
@@ -67,8 +67,8 @@
         TestGateway gateway = new TestGateway().start(0);
         long restarted = gateway.now;
         gateway.advance(11_000_000);
-        gateway.updateList(ListUpdateType.FULL, TestGateway.inService(0, 0), TestGateway.inService(2, restarted), TestGateway.inService(4, restarted),
-                TestGateway.inService(6, restarted));
+        gateway.updateList(ListUpdateType.FULL, TestGateway.inService(0, 0), TestGateway.inService(2, restarted),
+                TestGateway.inService(4, restarted), TestGateway.inService(6, restarted));
         for (int i = 0; i < 80; i++) {
             gateway.request(10_000L + i);
         }
--- a/src/test/java/mastdrift/EdgeTest.java
+++ b/src/test/java/mastdrift/EdgeTest.java
@@ -85,7 +85,8 @@
     @Test
     void aVeryLongRegistryOutageDoesNotEndListRequests() {
         TestGateway gateway = new TestGateway();
-        gateway.listRequestDeadline = 10_000_008;  // an eighth of it is odd, so that a shifted delay doesn't overflow to zero
+        // an eighth of it is odd, so that a shifted delay doesn't overflow to zero
+        gateway.listRequestDeadline = 10_000_008;
         gateway.start(2);
         for (int i = 0; i < 200; i++) {
             gateway.advance(20_000_000);
--- a/src/test/java/mastdrift/FleetTest.java
+++ b/src/test/java/mastdrift/FleetTest.java
@@ -24,7 +24,8 @@
     @Test
     void gatewaysOfAnOverloadedZoneUseTheIdleZone() {
         List<TestGateway> fleet = fleet(5);
-        assertTrue(remoteZoneFraction(fleet, 0, 0) < 0.35, "to the other zone while both are idle: " + remoteZoneFraction(fleet, 0, 0));
+        assertTrue(remoteZoneFraction(fleet, 0, 0) < 0.35,
+                "to the other zone while both are idle: " + remoteZoneFraction(fleet, 0, 0));
         double away = remoteZoneFraction(fleet, 9, 0.5);
         assertTrue(away > 0.5, "to the other zone while the own is overloaded: " + away);
         assertTrue(remoteZoneFraction(fleet, 4, 4) < 0.35, "too much to the other zone while both have the same load");
@@ -41,8 +42,10 @@
                 refusedBeforeLoad = i < 200 ? gateway.refused.size() : refusedBeforeLoad;
                 if (i % 20 == 0) {
                     double load = i < 200 ? 0.5 : 9;
-                    gateway.updateList(ListUpdateType.FULL, IntStream.range(0, HOSTS).mapToObj(h -> new Host("h" + h, "z" + h % 2, h / 4,
-                            "std", 2 / (1 + (h < 2 ? 0 : h < 50 ? 0.5 : load)), HostState.IN_SERVICE, 0)).toArray(Host[]::new));
+                    gateway.updateList(ListUpdateType.FULL, IntStream.range(0, HOSTS)
+                            .mapToObj(h -> new Host("h" + h, "z" + h % 2, h / 4, "std",
+                                    2 / (1 + (h < 2 ? 0 : h < 50 ? 0.5 : load)), HostState.IN_SERVICE, 0))
+                            .toArray(Host[]::new));
                 }
                 gateway.serve(1, 40_000, 40_000);
             }
@@ -81,8 +84,10 @@
             long startedAt = gateway.now;
             for (int i = 0; i < 200; i++) {
                 if (i % 20 == 0) {
-                    gateway.updateList(ListUpdateType.FULL, IntStream.range(0, HOSTS).mapToObj(h -> new Host("h" + h, "z" + h % 2,
-                            h / 4, "std", 2 / (1 + (h < 10 ? 0 : load)), HostState.IN_SERVICE, startedAt)).toArray(Host[]::new));
+                    gateway.updateList(ListUpdateType.FULL, IntStream.range(0, HOSTS)
+                            .mapToObj(h -> new Host("h" + h, "z" + h % 2, h / 4, "std",
+                                    2 / (1 + (h < 10 ? 0 : load)), HostState.IN_SERVICE, startedAt))
+                            .toArray(Host[]::new));
                 }
                 gateway.serve(1, 25_000, 25_000);
             }
--- a/src/test/java/mastdrift/ModelSizeTest.java
+++ b/src/test/java/mastdrift/ModelSizeTest.java
@@ -44,8 +44,8 @@
             gateway.advance(10_000);
             TestGateway.Sent send = gateway.lastSend();
             double utilization = List.of("h0", "h2").contains(send.address()) ? 0.8 : 0.4;
-            gateway.balancer.attemptEnded(gateway.now, send.id(), send.attempt(), send.address(), Outcome.DELIVERED, 10_000,
-                    true, cpu(reported ? utilization : Double.NaN));
+            gateway.balancer.attemptEnded(gateway.now, send.id(), send.attempt(), send.address(), Outcome.DELIVERED,
+                    10_000, true, cpu(reported ? utilization : Double.NaN));
         }
         return gateway.sent.stream().skip(before).filter(s -> List.of("h0", "h2").contains(s.address())).count();
     }
--- a/src/test/java/mastdrift/ModuleModelTest.java
+++ b/src/test/java/mastdrift/ModuleModelTest.java
@@ -32,8 +32,8 @@
 
     /** Events that may happen next. Outcomes are those of the oldest attempt in flight. The first three are a request
         of that idempotency, in the order of {@link Idempotency}. */
-    private enum Event { SAFE, KEYED, UNSAFE, SERVED, ERROR, SHED, DIAL_FAILED, DROPPED, EXPIRED, CLIENT_LEAVES, HOST_DRAINS, HOST_REMOVED, HOST_RETURNS,
-        SHORT_WAIT, REFRESH_WAIT }
+    private enum Event { SAFE, KEYED, UNSAFE, SERVED, ERROR, SHED, DIAL_FAILED, DROPPED, EXPIRED, CLIENT_LEAVES,
+        HOST_DRAINS, HOST_REMOVED, HOST_RETURNS, SHORT_WAIT, REFRESH_WAIT }
 
     /** False reports to the balancer that the checks have to detect. The real gateway makes none of them. */
     private enum Misreport { NONE, ERROR_AS_SHED, DRAIN_OMITTED, EXPIRY_OMITTED, DELIVERY_AS_SHED }
@@ -68,12 +68,14 @@
 
         EventSequence(Misreport misreport) {
             this.misreport = misreport;
-            gateway.classes = List.of(requestClass("safe", Idempotency.SAFE), requestClass("keyed", Idempotency.KEYED), requestClass("unsafe", Idempotency.UNSAFE));
+            gateway.classes = List.of(requestClass("safe", Idempotency.SAFE), requestClass("keyed", Idempotency.KEYED),
+                    requestClass("unsafe", Idempotency.UNSAFE));
             gateway.start(3);
         }
 
         private static RequestClass requestClass(String name, Idempotency idempotency) {
-            return new RequestClass(name, 300_000, 0, REQUEST_TIME_MICROS, 1, 0.2, idempotency, DedupScope.ZONE, DEDUP_WINDOW_MICROS, false);
+            return new RequestClass(name, 300_000, 0, REQUEST_TIME_MICROS, 1, 0.2, idempotency, DedupScope.ZONE,
+                    DEDUP_WINDOW_MICROS, false);
         }
 
         private void recordViolation(String what) {
@@ -87,12 +89,15 @@
                     if (requests.size() == MAX_REQUESTS) {
                         return false;
                     }
-                    // Recorded before the balancer is called, which acts within the call. The harness counts ids from 1.
-                    requests.put(requests.size() + 1L, new RequestRecord(Idempotency.values()[event.ordinal()], gateway.now + REQUEST_TIME_MICROS));
+                    // Recorded before the balancer is called, which acts within the call. The harness counts ids
+                    // from 1.
+                    requests.put(requests.size() + 1L, new RequestRecord(Idempotency.values()[event.ordinal()],
+                            gateway.now + REQUEST_TIME_MICROS));
                     gateway.request(event.name().toLowerCase(java.util.Locale.ROOT), null, 7L, REQUEST_TIME_MICROS);
                 }
                 case CLIENT_LEAVES -> {
-                    Long open = requests.entrySet().stream().filter(r -> r.getValue().answers == 0 && !r.getValue().clientLeft)
+                    Long open = requests.entrySet().stream()
+                            .filter(r -> r.getValue().answers == 0 && !r.getValue().clientLeft)
                             .map(Map.Entry::getKey).findFirst().orElse(null);
                     if (open == null) {
                         return false;
@@ -114,7 +119,8 @@
                     if (inFlight.isEmpty()) {
                         return false;
                     }
-                    endAttempt(inFlight.get(0), event == Event.SERVED ? Outcome.DELIVERED : Outcome.valueOf(event.name()));
+                    endAttempt(inFlight.get(0),
+                            event == Event.SERVED ? Outcome.DELIVERED : Outcome.valueOf(event.name()));
                 }
             }
             expireAttempts();
@@ -143,11 +149,13 @@
             if (misreport == Misreport.EXPIRY_OMITTED && outcome == Outcome.EXPIRED) {
                 return;
             }
-            Outcome reported = misreport == Misreport.ERROR_AS_SHED && outcome == Outcome.ERROR ? Outcome.SHED : outcome;
-            boolean requestEnded = (request.answers > 0 || request.clientLeft) && misreport != Misreport.DELIVERY_AS_SHED;
+            Outcome reported = misreport == Misreport.ERROR_AS_SHED && outcome == Outcome.ERROR ? Outcome.SHED
+                    : outcome;
+            boolean requestEnded = (request.answers > 0 || request.clientLeft)
+                    && misreport != Misreport.DELIVERY_AS_SHED;
             gateway.balancer.attemptEnded(gateway.now, send.id(), send.attempt(), send.address(),
-                    misreport == Misreport.DELIVERY_AS_SHED && outcome == Outcome.DELIVERED ? Outcome.SHED : reported, gateway.now - send.at(), requestEnded,
-                    TestGateway.NO_REPORT);
+                    misreport == Misreport.DELIVERY_AS_SHED && outcome == Outcome.DELIVERED ? Outcome.SHED : reported,
+                    gateway.now - send.at(), requestEnded, TestGateway.NO_REPORT);
         }
 
         /** Ends attempts whose request is out of time, as the gateway does. */
@@ -169,7 +177,8 @@
             }
             for (; checkedRefusals < gateway.refused.size(); checkedRefusals++) {
                 RequestRecord request = requests.get(Long.parseLong(gateway.refused.get(checkedRefusals)));
-                if (request.idempotency != Idempotency.SAFE && request.sends.stream().anyMatch(send -> mayHaveRun(request, send))) {
+                if (request.idempotency != Idempotency.SAFE
+                        && request.sends.stream().anyMatch(send -> mayHaveRun(request, send))) {
                     recordViolation("refused though it may have run");
                 }
                 countAnswer(request);
--- a/src/test/java/mastdrift/RulesTest.java
+++ b/src/test/java/mastdrift/RulesTest.java
@@ -134,10 +134,12 @@
             gateway.request(key);
             gateway.endAttempt(gateway.lastSend(), Outcome.DELIVERED);
         }
-        gateway.updateList(ListUpdateType.DELTA, TestGateway.host(1, HostState.TERMINATING, 0), TestGateway.host(2, HostState.TERMINATED, 0));
+        gateway.updateList(ListUpdateType.DELTA, TestGateway.host(1, HostState.TERMINATING, 0),
+                TestGateway.host(2, HostState.TERMINATED, 0));
         Host[] rest = new Host[13];
         for (int i = 0; i < rest.length; i++) {
-            rest[i] = i == 1 ? TestGateway.host(1, HostState.TERMINATING, 0) : TestGateway.inService(i + (i >= 2 ? 1 : 0), 0);
+            rest[i] = i == 1 ? TestGateway.host(1, HostState.TERMINATING, 0)
+                    : TestGateway.inService(i + (i >= 2 ? 1 : 0), 0);
         }
         int before = gateway.sent.size();
         for (long key = 0; key < 50; key++) {
@@ -221,7 +223,8 @@
             } else {
                 int i = random.nextInt(8);
                 HostState state = random.nextInt(3) == 0 ? HostState.TERMINATING : HostState.IN_SERVICE;
-                gateway.updateList(ListUpdateType.DELTA, TestGateway.host(i, state, state == HostState.IN_SERVICE ? gateway.now : 0));
+                gateway.updateList(ListUpdateType.DELTA,
+                        TestGateway.host(i, state, state == HostState.IN_SERVICE ? gateway.now : 0));
                 if (state == HostState.IN_SERVICE) {
                     drainingAddresses.remove("h" + i);
                 } else {
@@ -239,7 +242,8 @@
             }
             TestGateway.Sent send = inFlight.get(random.nextInt(inFlight.size()));
             boolean requestEnded = finished.contains(send.id());
-            Outcome outcome = requestEnded || random.nextInt(2) == 0 ? FAILURES.get(random.nextInt(7)) : Outcome.DELIVERED;
+            Outcome outcome = requestEnded || random.nextInt(2) == 0 ? FAILURES.get(random.nextInt(7))
+                    : Outcome.DELIVERED;
             outcomes.computeIfAbsent(send.id(), k -> new HashMap<>()).put(send.attempt(), outcome);
             if (outcome == Outcome.DELIVERED) {
                 finished.add(send.id());
--- a/src/test/java/mastdrift/TestGateway.java
+++ b/src/test/java/mastdrift/TestGateway.java
@@ -81,10 +81,14 @@
         return new Settings(classes == null ? List.of(requestClass("read")) : classes, tenants,
                 new Limits(mayCancel, mayProbe, mayHedge, false, maxAttempts, 20_000, sendsRetryAfter, 500_000),
                 new ConnectionSettings(100_000, 5_000_000, 1), new CpuBudget(500_000, 0),
-                guarantees != null ? guarantees : new Guarantees(20_000, 250_000, listRequestDeadline, 0.2, 10_000_000, 3, 2_000_000),
-                new Scoring(new ScoreWeights(1, 0, 0, 0), new Penalties(0, 0, 0, 0, 0, 0.01, 0, 0, 0, 0, 0), 0.05, false),
-                new Topology(instanceIndex, gatewayCount, "z0", List.of("z0", "z1"), List.of("std"), 0, List.of("servers")),
-                new Capabilities(true, false, LoadReportMode.OFF, List.of(), false), listRequestDeadline > 0, weightMode, "proxy",
+                guarantees != null ? guarantees
+                        : new Guarantees(20_000, 250_000, listRequestDeadline, 0.2, 10_000_000, 3, 2_000_000),
+                new Scoring(new ScoreWeights(1, 0, 0, 0),
+                        new Penalties(0, 0, 0, 0, 0, 0.01, 0, 0, 0, 0, 0), 0.05, false),
+                new Topology(instanceIndex, gatewayCount, "z0", List.of("z0", "z1"), List.of("std"), 0,
+                        List.of("servers")),
+                new Capabilities(true, false, LoadReportMode.OFF, List.of(), false), listRequestDeadline > 0,
+                weightMode, "proxy",
                 1_000, seed);
     }
 
--- a/src/test/java/mastdrift/wire/AdapterMappingTest.java
+++ b/src/test/java/mastdrift/wire/AdapterMappingTest.java
@@ -20,7 +20,8 @@
 /** Every setting, message and action of the simulator's protocol is passed on, and what is absent gets its default. */
 class AdapterMappingTest {
 
-    private static final String REQUIRED_SETTINGS = "allowed.cancel=true allowed.probes=false allowed.parallel_tries=true"
+    private static final String REQUIRED_SETTINGS = "allowed.cancel=true allowed.probes=false"
+            + " allowed.parallel_tries=true"
             + " allowed.max_attempts=3 allowed.retry_after=true allowed.max_retry_after=9 allowed.dial_timeout=8"
             + " balancers=4 locality=a registry_mode=pushed weights=off guarantees.cold_from=0.2"
             + " guarantees.warm_within=7 guarantees.tip_multiple=3.5 guarantees.fall=6 classes.count=1"
@@ -50,14 +51,15 @@
         assertEquals(new Balancer.ConnectionSettings(8, 12, 13), s.connections());
         assertEquals(new Balancer.CpuBudget(14, 1.5), s.cpu());
         assertEquals(new Balancer.Guarantees(16, 17, 0, 0.2, 7, 3.5, 6), s.guarantees());
-        assertEquals(18, settings((REQUIRED_SETTINGS + OPTIONAL_SETTINGS).replace("=pushed", "=on_request")).guarantees().listRequestDeadline());
+        assertEquals(18, settings((REQUIRED_SETTINGS + OPTIONAL_SETTINGS).replace("=pushed", "=on_request"))
+                .guarantees().listRequestDeadline());
         assertEquals(new Balancer.Topology(2, 4, "a", List.of("a", "b"), List.of("k", "l"), 1, List.of("s", "t")),
                 s.topology());
         assertEquals(new Balancer.Scoring(new Balancer.ScoreWeights(0.4, 0.3, 0.2, 0.1),
                 new Balancer.Penalties(0.01, 0.02, 0.03, 0.04, 0.05, 0.06, 0.07, 0.08, 0.09, 0.11, 0.12), 0.05, true),
                 s.scoring());
-        assertEquals(new Balancer.Capabilities(true, true, Balancer.LoadReportMode.ON_PROBE, List.of("cpu", "waiting"), true),
-                s.capabilities());
+        assertEquals(new Balancer.Capabilities(true, true, Balancer.LoadReportMode.ON_PROBE,
+                List.of("cpu", "waiting"), true), s.capabilities());
         assertEquals(List.of(new Balancer.RequestClass("r", 1, 2.5, 2, 3, 0.25, Balancer.Idempotency.KEYED,
                 Balancer.DedupScope.CELL, 5, true)), s.classes());
         assertEquals(List.of(new Balancer.Tenant("x", 0.6, 7.5)), s.tenants());
@@ -72,7 +74,8 @@
         assertEquals(0, s.scoring().penalties().probe());
         assertEquals(1, s.scoring().overQuotaValueFraction());
         assertEquals(Balancer.LoadReportMode.OFF, s.capabilities().loadReportMode());
-        assertFalse(s.capabilities().hostsCacheKeys() || s.limits().mayMessagePeers() || s.classes().get(0).streaming());
+        assertFalse(s.capabilities().hostsCacheKeys() || s.limits().mayMessagePeers()
+                || s.classes().get(0).streaming());
         assertEquals(Long.MAX_VALUE, s.connections().idleTimeout());
         assertTrue(s.tenants().isEmpty() && s.topology().zones().isEmpty());
     }
@@ -154,7 +157,8 @@
 
     @Test
     void anUnknownLoadReportValueIsIgnored() throws IOException {
-        String input = "tick 1 1\ninit g/0 5 " + REQUIRED_SETTINGS + "\nresolved g/0 7 0 h shed 1 1 cpu:0.5,mood:fine\nyour_turn\n";
+        String input = "tick 1 1\ninit g/0 5 " + REQUIRED_SETTINGS
+                + "\nresolved g/0 7 0 h shed 1 1 cpu:0.5,mood:fine\nyour_turn\n";
         StringWriter out = new StringWriter();
         new Adapter(new BufferedReader(new StringReader(input)), out, new PrintStream(PrintStream.nullOutputStream()),
                 Recorder::new).run();
--- a/src/test/java/mastdrift/wire/WireTest.java
+++ b/src/test/java/mastdrift/wire/WireTest.java
@@ -44,7 +44,8 @@
     @Test
     void aRequestIsSentAndItsOutcomeEndsIt() throws IOException {
         Run run = run(START + "tick 200 2\ncall gateway/1 7 read - 4711 240000 12000 1\nyour_turn\n"
-                + "tick 20200 3\nresolved gateway/1 7 0 h1:1 delivered 20000 1 cpu:0.62,waiting:3,other:9\nyour_turn\n");
+                + "tick 20200 3\nresolved gateway/1 7 0 h1:1 delivered 20000 1 cpu:0.62,waiting:3,other:9\n"
+                + "your_turn\n");
         assertEquals(0, run.status());
         String[] lines = run.out().split("\n");
         assertTrue(lines[0].startsWith("after gateway/1 "), run.out());
