--- a/src/test/java/mastdrift/FailingServerTest.java
+++ b/src/test/java/mastdrift/FailingServerTest.java
@@ -19,7 +19,7 @@
         gateway.request(null);
         String unlucky = gateway.lastSend().address();
         gateway.endAttempt(gateway.lastSend(), Outcome.ERROR);
-        assertTrue(nextRequestsFraction(gateway, unlucky) > 0.1);
+        assertTrue(fractionOfNextRequests(gateway, unlucky) > 0.1);
     }
 
     /** Guards against a server that keeps its share though half of its attempts fail. */
@@ -27,7 +27,7 @@
     void aServerThatFailsHalfOfItsAttemptsIsExcluded() {
         TestGateway gateway = new TestGateway().start(4);
         requestsWithFailures(gateway, "h1", 400, 2);
-        assertTrue(nextRequestsFraction(gateway, "h1") < 0.03);
+        assertTrue(fractionOfNextRequests(gateway, "h1") < 0.03);
     }
 
     /** Guards against an S* that shrinks to a few servers, which are then overloaded, when all servers fail alike. */
@@ -53,10 +53,10 @@
             gateway.advance(10_000);
             if (gateway.sent.size() > before) {
                 TestGateway.Sent send = gateway.sent.get(before);
-                boolean hole = send.address().equals("h3");
-                gateway.endAttempt(send, hole || i % 2 == 0 ? Outcome.ERROR : Outcome.DELIVERED, hole ? 1_000 : 20_000);
+                boolean isBlackHole = send.address().equals("h3");
+                gateway.endAttempt(send, isBlackHole || i % 2 == 0 ? Outcome.ERROR : Outcome.DELIVERED, isBlackHole ? 1_000 : 20_000);
                 gateway.balancer.clientLeft(gateway.now, send.id());
-                toBlackHole += hole && i >= 600 ? 1 : 0;
+                toBlackHole += isBlackHole && i >= 600 ? 1 : 0;
             }
         }
         assertTrue(toBlackHole < 28, "sent to the black hole: " + toBlackHole + " of 300");
@@ -81,7 +81,7 @@
     }
 
     /** The fraction of the next 200 requests that goes to the host. */
-    private static double nextRequestsFraction(TestGateway gateway, String address) {
+    private static double fractionOfNextRequests(TestGateway gateway, String address) {
         int before = gateway.sent.size();
         gateway.serve(200, 5_000, 5_000);
         return gateway.sent.stream().skip(before).filter(s -> s.address().equals(address)).count() / 200.0;
--- a/src/test/java/mastdrift/RulesTest.java
+++ b/src/test/java/mastdrift/RulesTest.java
@@ -213,12 +213,12 @@
         }
 
         void step() {
-            int kind = random.nextInt(10);
-            if (kind < 4) {
+            int choice = random.nextInt(10);
+            if (choice < 4) {
                 gateway.request("read", null, (long) random.nextInt(30), 200_000 + random.nextInt(800_000));
-            } else if (kind < 8) {
+            } else if (choice < 8) {
                 endRandomAttempt();
-            } else if (kind == 8) {
+            } else if (choice == 8) {
                 gateway.advance(random.nextInt(100_000));
             } else {
                 int i = random.nextInt(8);
