--- a/src/main/java/mastdrift/BalancerState.java
+++ b/src/main/java/mastdrift/BalancerState.java
@@ -46,7 +46,7 @@
         int sampleCount;
         /** Attempts without an outcome, the earliest first. */
         final List<Attempt> inFlight = new ArrayList<>();
-        /** Of the samples that are recent enough: the 95th percentile, and how many there are. */
+        /** 95th percentile of the recent samples, the number of them, and the number of recent failures. */
         double ownP95;
         int ownSampleCount;
         int ownFailureCount;
@@ -56,7 +56,7 @@
         double successFraction = 1;
         /** Present share of the traffic, relative to other servers. */
         double share;
-        /** Whether the server is in S*, the set whose response time is at most theta. */
+        /** Whether the server is in S*: in service, not down, and with a response time below theta. */
         boolean eligible;
         double reportedQueue;
         long queueReportedAt;
@@ -64,12 +64,13 @@
         double probeRoundTrip;
         boolean probePending;
         long lastAnswerAt;
-        /** Attempts sent since the last answer, without those that stream, and when the first was sent. */
+        /** Attempts sent since the last answer, without those that stream. */
         int unansweredSends;
         long lastSendAt;
         long lastDeliveryAt;
         /** Attempts sent lately; decays with each refresh. */
         double recentSends;
+        /** When the first of the unanswered attempts was sent. */
         long unansweredSince;
         boolean down;
         /** When the host started, while it is cold; 0 for a warm one. */
@@ -82,7 +83,8 @@
         long coldBudgetUpdatedAt;
         /** Answers since the last refresh. */
         int deliveredCount;
-        /** Latest send time of an answered attempt; what was sent earlier and is in flight may be lost. */
+        /** An attempt in flight that was sent before this was overtaken by an answer and counts as lost: the latest
+            send time of an answered attempt less its elapsed time. */
         long overtakenSentAt;
         /** Shortest answer since the queue wait was last set, and the number of answers compared. */
         double shortestAnswer = Double.MAX_VALUE;
--- a/src/main/java/mastdrift/HeadroomBalancer.java
+++ b/src/main/java/mastdrift/HeadroomBalancer.java
@@ -199,9 +199,9 @@
     /** 0 while nothing has to be refused, 1 where all new keys are. */
     private double fleetPressure;
     private boolean manyServersFull;
-    /** Theta: a server with a longer response time gets nothing. */
+    /** Theta: a server with a longer response time gets no share. */
     private double threshold = UNBOUNDED_LATENCY;
-    /** The least latency target of a class, as a multiple of its typical latency. */
+    /** The lowest latency target of any class, as a multiple of that class's typical latency. */
     private double tightestRelativeTarget = UNBOUNDED_LATENCY;
     private double fleetFailureFraction;
     /** Whether the list's weights tell how busy hosts are. */
@@ -224,7 +224,8 @@
     private int arrivedWithNewKey;
     /** Fraction of requests without a session; half until it is known. */
     private double newKeyFraction = 0.5;
-    /** Samples that admission waits for; between the two limits, by the requests of a refresh. */
+    /** Fewest samples that admission judges by: from MIN_SAMPLES_QUIET to MIN_SAMPLES_BUSY, following the
+        number of requests in a refresh. */
     private double minAdmissionSamples = MIN_SAMPLES_QUIET;
     private long tightestTarget = Long.MAX_VALUE;
     private double retryBudget = MAX_SAVED_BUDGET / 2;
@@ -499,7 +500,7 @@
         }
         boolean fresh = listedLoadsAreFresh(now);
         for (Server server : servers.values()) {
-            // under one request per core
+            // Under one request per core.
             boolean idle = 2 * server.host.weight() > server.modelStats.maxWeight;
             if (!fresh || server.coldSince == 0) {
                 server.coldRateFactor = 1;
@@ -733,7 +734,7 @@
 
     /** Lower for another zone, as crossing zones costs time and a penalty; the less so the busier the own
         zone is than the other. All gateways of a zone prefer it and would overload it while other zones
-        idle. */
+        are idle. */
     private double zoneFactor(String zone) {
         String ownZone = settings.topology().zone();
         double loadRatio = (1 + zoneLoads.getOrDefault(ownZone, 0.0))
@@ -747,11 +748,11 @@
 
     // ---- Choice of a server, and sessions
 
-    /** Draws servers in proportion to their shares, by rejection, until one is not too loaded; null if no
-        server may be used. The key seeds the draw, so gateways that agree on the shares choose the same
-        server for it. A request within its tenant's quota also avoids servers with a queue, where it might
-        be refused while other servers have none. Requests over quota don't: they would fill those servers
-        too. */
+    /** Draws servers in proportion to their shares, by rejection, until one is not too loaded, else takes the
+        least loaded of those drawn; null if no server may be used. The key seeds the draw, so gateways that
+        agree on the shares choose the same server for it. A request within its tenant's quota also avoids
+        servers with a queue, where it might be refused while other servers have none. Requests over quota
+        don't: they would fill those servers too. */
     private Server drawServer(long now, OpenRequest req) {
         Server leastLoaded = null;
         double leastLoad = Double.MAX_VALUE;
@@ -1129,8 +1130,8 @@
         return Math.max(modelRate, oneCore / settings.topology().gatewayCount());
     }
 
-    /** Fraction of its capacity that a host is certain to have by now; 1 when warm. A down server starts
-        anew. */
+    /** Fraction of its capacity that a host is certain to have by now; 1 when warm. A server that is down
+        counts as started now. */
     private double warmFraction(long now, Server server) {
         if (server.down) {
             server.coldSince = now;
--- a/src/main/java/mastdrift/wire/Adapter.java
+++ b/src/main/java/mastdrift/wire/Adapter.java
@@ -24,6 +24,7 @@
 
     private static final LoadReport NO_REPORT = loadReport(new double[] {
         Double.NaN, Double.NaN, Double.NaN, Double.NaN, Double.NaN, Double.NaN});
+    /** Names in a load report, in the order of the components of {@link LoadReport}. */
     private static final List<String> REPORT_NAMES =
             List.of("active", "waiting", "cpu", "avg_ms", "rps", "err_rps");
 
--- a/src/test/java/mastdrift/FailingServerTest.java
+++ b/src/test/java/mastdrift/FailingServerTest.java
@@ -54,7 +54,8 @@
             if (gateway.sent.size() > before) {
                 TestGateway.Sent send = gateway.sent.get(before);
                 boolean isBlackHole = send.address().equals("h3");
-                gateway.endAttempt(send, isBlackHole || i % 2 == 0 ? Outcome.ERROR : Outcome.DELIVERED, isBlackHole ? 1_000 : 20_000);
+                gateway.endAttempt(send, isBlackHole || i % 2 == 0 ? Outcome.ERROR : Outcome.DELIVERED,
+                        isBlackHole ? 1_000 : 20_000);
                 gateway.balancer.clientLeft(gateway.now, send.id());
                 toBlackHole += isBlackHole && i >= 600 ? 1 : 0;
             }
--- a/src/test/java/mastdrift/TestGateway.java
+++ b/src/test/java/mastdrift/TestGateway.java
@@ -88,8 +88,7 @@
                 new Topology(instanceIndex, gatewayCount, "z0", List.of("z0", "z1"), List.of("std"), 0,
                         List.of("servers")),
                 new Capabilities(true, false, LoadReportMode.OFF, List.of(), false), listRequestDeadline > 0,
-                weightMode, "proxy",
-                1_000, seed);
+                weightMode, "proxy", 1_000, seed);
     }
 
     /** Starts the balancer with this many hosts in service, none of them cold. */
