--- a/src/main/java/mastdrift/net/Arrival.java
+++ b/src/main/java/mastdrift/net/Arrival.java
@@ -1,22 +1,23 @@
 package mastdrift.net;
 
-/** How a request comes in on a client's connection, and when it has taken too long. Clients may take 2 s for a head and send
-    a body at 64 kB a second, in pieces; what never becomes a request is owed an end within 3 s of connecting. Bounds aren't
-    moved by what trickles in, and time in which nothing is read from the client is not the client's. All times are in
-    microseconds on the gateway's clock. */
+/** Time limits on reading one request from a client's connection. Clients may take 2 s for the head of a request and
+    may send its body at 64 kB a second, in pieces; a connection that never sends a whole request has to be closed
+    within 3 s of connecting. Bytes that trickle in do not extend the limits, and time in which the gateway does not
+    read does not count. All times are in microseconds on the gateway's clock. */
 final class Arrival {
 
-    /** A head has to be there by then, from its first byte or, on a connection's first request, from its coming. */
+    /** Limit for the head of a request, from its first byte or, for the first request on a connection, from connecting.
+        */
     static final long HEAD_IN_MICROS = 2_600_000;
-    // Half of the pace that clients keep is borne, in microseconds a byte, and so is a pause.
+    // Half of the rate at which clients send, 64 kB a second, is accepted; so is a pause of this length.
     private static final double BODY_MICROS_A_BYTE = 1e6 / 32_000;
     private static final long BODY_PAUSE_MICROS = 2_000_000;
 
-    private long since;  // the first byte, 0 while there is no part of a request
+    private long since;  // time of the request's first byte, 0 while no request is being read
     private long readAt;
-    private long pausedAt;  // 0 while the client is read from
+    private long pausedAt;  // 0 while reading is not paused
 
-    /** Whether there is a part of a request. */
+    /** Whether a request has been read in part. */
     boolean begun() {
         return since != 0;
     }
@@ -33,7 +34,7 @@
         readAt = now;
     }
 
-    /** False where this changes nothing. */
+    /** Pauses or continues the timer; false if that changes nothing. */
     boolean pause(boolean paused, long now) {
         if (paused == (pausedAt != 0)) {
             return false;
@@ -46,8 +47,8 @@
         return true;
     }
 
-    /** Whether the part that there is, with so many bytes of its body, is too slow; {@code came} is when its connection
-        came, or 0 where that has been asked on before. */
+    /** Whether the request that is being read, with {@code bodyBytes} of its body, is too slow. {@code connectedAt} is
+        when the client connected, or 0 if an earlier request came on the connection. */
     boolean overdue(long now, long came, long bytes) {
         long taken = now - (came == 0 ? since : came);
         boolean slow = taken > HEAD_IN_MICROS + bytes * BODY_MICROS_A_BYTE;
--- a/src/main/java/mastdrift/net/Assembler.java
+++ b/src/main/java/mastdrift/net/Assembler.java
@@ -19,45 +19,47 @@
 import io.netty.handler.codec.http.HttpUtil;
 import io.netty.handler.codec.http.LastHttpContent;
 
-/** Puts messages together from what a codec reads. One whose body is within HELD_BYTES_MOST is passed on whole; a longer one
-    as soon as that is known, with a relay for the rest of it. A message that can't be read, or whose body is too long, is
-    passed on as such, unless its relay has begun: then that fails. */
+/** Aggregates the parts that an HTTP codec decodes. A message with a body of up to MAX_AGGREGATED_BYTES is passed on
+    whole; a longer one as soon as it is known to be longer, with a relay for the rest of its body. A message that can't
+    be decoded, or whose body is too long, is passed on with a failed decoder result, or fails its relay if that has
+    started. */
 final class Assembler extends SimpleChannelInboundHandler<HttpObject> {
 
-    /** Kept whole, so that it can be sent again. */
+    /** Bodies up to this size are kept whole, so that the request can be retried. */
     static final int HELD_BYTES_MOST = 64 << 10;
-    /** No body is longer. */
+    /** Longer bodies are rejected. */
     static final long BODY_BYTES_MOST = 32L << 20;
     private static final int COMPONENTS_MOST = 1024;
 
-    /** A message with what has come of its body, to be released by who gets it; whole where there is no rest. */
+    /** A message with the part of its body that has arrived, which the receiver releases; {@code bodyRelay} supplies
+        the rest, and is null if the message is complete. */
     record Part(FullHttpMessage message, Relay rest) { }
 
-    /** EXPECTS: a client waits to be asked for the body of the request that is coming. */
+    /** CONTINUE_EXPECTED: the client waits for a 100 response before it sends the body of the request. */
     enum Event { EXPECTS }
 
-    private HttpMessage head;  // of the message that is held, null where none is
+    private HttpMessage head;  // of the message that is being aggregated, null if there is none
     private ByteBuf held = Unpooled.EMPTY_BUFFER;
     private Relay rest;
-    private long length;  // of its body as told, negative where it isn't
+    private long length;  // as declared by the head, negative if it is not
     private long bytes;
 
-    /** How much has come of the body of the message that is coming; 0 between two. */
+    /** How much of the body of the current message has arrived; 0 between two messages. */
     long bytes() {
         return bytes;
     }
 
-    /** Whether there is a part of a message that has not been passed on. */
+    /** Whether a message has been read in part and not been passed on. */
     boolean holds() {
         return head != null;
     }
 
-    /** Of the message that is held now, the end is not known and something has come. */
+    /** Whether the current message is of unknown length and a part of its body has arrived. */
     boolean holdsOpenEnded() {
         return head != null && length < 0 && held.isReadable();
     }
 
-    /** Passes on what is held, with a relay for the rest. */
+    /** Passes on the part that has arrived, with a relay for the rest of the body. */
     void relay(ChannelHandlerContext context) {
         rest = new Relay();
         pass(context, null, rest);
@@ -124,7 +126,7 @@
         }
     }
 
-    /** Mostly there is one piece. */
+    /** Avoids a composite buffer for one piece, which is the usual case. */
     private void hold(ChannelHandlerContext context, ByteBuf piece) {
         if (!piece.isReadable()) {
             return;
@@ -154,12 +156,12 @@
         context.fireChannelRead(new Part(message, relay));
     }
 
-    /** What is coming won't be whole, whatever comes. */
+    /** Fails the current message, whatever arrives. */
     void breakOff() {
         drop();
     }
 
-    /** A connection that breaks doesn't end a message, not even one that lasts to the connection's end. */
+    /** A connection that fails does not complete a message, not even one whose body ends with the connection. */
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
         drop();
--- a/src/main/java/mastdrift/net/ClientSide.java
+++ b/src/main/java/mastdrift/net/ClientSide.java
@@ -50,42 +50,46 @@
 import mastdrift.Balancer.Settings;
 import mastdrift.Balancer.Tenant;
 
-/** The server that clients connect to: reads requests, refuses what is none, writes the final answers. */
+/** The HTTP server that clients connect to: decodes and validates requests, submits them to the gateway, and writes the
+    final responses. Also drains client connections for a standby and closes them for a graceful shutdown. Used on the
+    event loop's thread alone. */
 final class ClientSide {
 
     private static final int BACKLOG_CONNECTIONS = 1024;
     private static final int PIPELINED_REQUESTS_MOST = 8;
-    // A client that takes nothing of its answer for so long is gone.
+    // A client that reads nothing of its response for this long is taken to be gone.
     private static final int WRITE_SECONDS = 10;
-    // Of the system, which else grows it to megabytes and asks for more only once a third of it is free: a client that
-    // reads 64 kB a second would seem to take nothing for longer than that.
+    // The system would grow the send buffer to megabytes and report it writable only once a third of it is free: a
+    // client that reads 64 kB a second would seem to read nothing for longer than the write timeout.
     private static final int SEND_BUFFER_BYTES = 128 << 10;
-    // Of the memory for buffers, for what is read ahead of its turn.
+    // Limit, over all client connections, of what is read ahead of its turn.
     private static final int AHEAD_BYTES_MOST = 8 << 20;
-    // At a stop, new connections go on coming for a while before the front has noticed.
+    // At a shutdown, new connections arrive for a while until the load balancer in front has noticed it.
     static final long STOP_ACCEPTING_MILLIS = 500;
-    // For so long, at the most, clients are served on the connections that they have, since other gateways may be away
-    // as well; and all is answered so long after the longest deadline, before the program may be killed.
+    // At a shutdown, open connections are served for up to MAX_SHUTDOWN_SERVE_MICROS, since other gateways may be down
+    // as well. All requests are answered within the longest deadline plus SHUTDOWN_ANSWER_MICROS, before the process
+    // may be killed.
     private static final long STOP_SERVING_MICROS_MOST = 1_500_000;
     private static final long STOP_ANSWERED_MICROS = 400_000;
-    private static final long DEADLINE_COUNTED_MICROS = 3_000_000;  // a longer one puts off the kill no further
-    // What comes on a connection that is ended in order is read and dropped for so long, unless its client closes before.
+    private static final long DEADLINE_COUNTED_MICROS = 3_000_000;  // longer deadlines do not delay the kill further
+    // A connection that is closed gracefully reads and discards input for this long, unless its client closes before.
     private static final long LINGER_MILLIS = 2000;
-    /** Hundreds of connections may each hold a read and a write of this size. */
+    /** Kept small, since hundreds of connections may each hold a read and a write of this size. */
     static final WriteBufferWaterMark WRITE_SIZES = new WriteBufferWaterMark(16 << 10, 32 << 10);
-    private static final long IDLE_MICROS_MOST = 10_000_000;  // connections that nobody asks on any more are not kept for good
+    private static final long IDLE_MICROS_MOST = 10_000_000;  // connections without requests are not kept forever
     private static final long SWEEP_SPAN_MICROS = LoopMonitor.SPAN_MICROS;
-    // So much may a host be told beyond what is left to the client; the platform's slack is 0.15 s.
+    // The time limit that a host is given may exceed the client's by this much; the platform tolerates 0.15 s.
     private static final long QUEUED_SLACK_MICROS = 50_000;
-    // A drain has 4 s to leave no client here. New connections come until the front has heard: answers tell clients to
-    // leave from then on, and what nobody asks on by the second moment is closed.
+    // A drain has to free this gateway of clients within 4 s. New connections arrive until the load balancer in front
+    // has noticed it: from DRAIN_CLOSE_MILLIS on responses close their connections, and at DRAIN_IDLE_CLOSE_MILLIS idle
+    // connections are closed.
     private static final long DRAIN_CLOSING_MILLIS = 500;
     private static final long DRAIN_IDLE_MILLIS = 1500;
     private static final long DRAINED_IDLE_MICROS_MOST = 250_000;
     private static final String TRACE = "X-Trace-Id";
     private static final String REPEAT_KEY = "Idempotency-Key";
     private static final String EXPIRES = HostPool.EXPIRES;
-    // Two of one of these would mean one thing here and may mean another at a host.
+    // If one of these headers came twice, the gateway and a host might use different values.
     private static final List<String> ONCE = List.of(TRACE, REPEAT_KEY, EXPIRES, "X-Qos", "X-Customer", "X-Object");
 
     private final EventLoop loop;
@@ -95,17 +99,17 @@
     private final Set<String> tenants = new HashSet<>();
     private final ConnectionLimit<Connection> connections;
     private final ReadAhead.Group ahead = new ReadAhead.Group(AHEAD_BYTES_MOST);
-    private final Set<String> open = new HashSet<>();  // the ids of requests that are not answered yet
+    private final Set<String> open = new HashSet<>();  // trace ids of requests without a response
     private Listener server;
     private boolean sweeping;
     private boolean accepting = true;
-    private boolean shared;  // the listening socket: a successor accepts from it too
-    private boolean closing;  // each answer is the last on its connection
-    private boolean drained;  // nobody should be here any more
+    private boolean shared;  // a successor process accepts from the same socket
+    private boolean closing;  // each response closes its connection
+    private boolean drained;  // clients have had the time to leave: idle connections are closed soon
     private Future<?> drain;
     private Runnable stopped;
 
-    /** Holds about {@code most} connections. */
+    /** Serves about {@code maxConnections} connections at a time. */
     ClientSide(EventLoop loop, Gateway gateway, Settings settings, int most, Life life) {
         this.loop = loop;
         this.gateway = gateway;
@@ -120,7 +124,7 @@
         return gateway;
     }
 
-    /** Whether nothing is held that clients have sent ahead of its turn. */
+    /** Whether no input of clients is held that was read ahead of its turn. */
     boolean holdsNothing() {
         return ahead.empty();
     }
@@ -129,19 +133,20 @@
         return server.localAddress();
     }
 
+    /** Binds the address and accepts connections. */
     ChannelFuture listen(InetSocketAddress at) {
         return listening(bootstrap().channelFactory(() -> new Listener(gateway::now, this::acceptFailed, this::accepted))
                 .bind(at));
     }
 
-    /** Accepts from a socket that others listen on as well, before and after this gateway. */
+    /** Accepts connections from a listening socket that predecessor and successor processes share. */
     ChannelFuture accept(ServerSocketChannel passed) {
         shared = true;
         return listening(bootstrap().channelFactory(() -> new Listener(passed, gateway::now, this::acceptFailed, this::accepted))
                 .register());
     }
 
-    /** A try that failed has no listener, and may be followed by another. */
+    /** Keeps the channel of an attempt to listen; one that failed has none and may be repeated. */
     private ChannelFuture listening(ChannelFuture begun) {
         if (begun.channel() instanceof Listener listener) {
             server = listener;
@@ -188,7 +193,8 @@
                 });
     }
 
-    /** Hears of a standby and of its end; on the loop, each time that either was asked for. */
+    /** Starts a drain at a standby and ends it when the gateway becomes active again. Called on the loop's thread after
+        each change of the lifecycle state. */
     void drainOrNot() {
         if (life.state() == Life.State.STANDBY && drain == null) {
             gateway.log("standby");
@@ -208,10 +214,11 @@
         }
     }
 
-    /** Goes on serving for a moment, then finishes what was taken and closes; {@code then} runs once all is answered. */
+    /** Shuts down gracefully: serves for a moment more, then answers the requests that were accepted and closes all
+        connections. {@code onStopped} runs once that is done. */
     void stop(Runnable then) {
         life.stop();
-        if (server == null) {  // so early that nobody can have come
+        if (server == null) {  // not listening yet: there are no clients
             then.run();
             return;
         }
@@ -221,7 +228,8 @@
         long longest = classes.values().stream().mapToLong(RequestClass::deadline).max().orElse(0);
         gateway.answerBy(gateway.now() + stopAnswered(longest));
         if (shared) {
-            // Whoever comes next is the successor's. Not closed: the virtual machine would lead the log to nowhere.
+            // The successor accepts from now on. The socket is descriptor 0 and stays open: if it were closed, the
+            // virtual machine would redirect the descriptors and the log would be lost.
             closing = true;
             accepting = false;
             server.accept(false);
@@ -240,17 +248,19 @@
                 TimeUnit.MICROSECONDS);
     }
 
-    /** From the stop until all is answered: before the kill, which comes 0.7 s and the longest deadline after it. */
+    /** From the start of a shutdown until all requests are answered: less than until the kill, which comes 0.7 s plus
+        the longest deadline after the start. */
     static long stopAnswered(long longestDeadline) {
         return STOP_ANSWERED_MICROS + Math.min(longestDeadline, DEADLINE_COUNTED_MICROS);
     }
 
-    /** From the stop until connections close, after which nothing more is taken: what came last has a third left. */
+    /** From the start of a shutdown until connections close and no request is accepted: leaves the last request a third
+        of the time until all are answered. */
     static long stopServing(long longestDeadline) {
         return Math.min(STOP_SERVING_MICROS_MOST, stopAnswered(longestDeadline) * 2 / 3);
     }
 
-    /** Not those that are sending a request: it is answered, and then they close. */
+    /** Closes connections without a request. Those that are sending one are closed after its response. */
     private void closeIdle() {
         connections.resting().stream().filter(connection -> !connection.sending()).forEach(Connection::end);
     }
@@ -263,7 +273,7 @@
             server.lookUnwatched();
         }
         connections.all().forEach(connection -> connection.closeOverdue(now));
-        connections.keep();  // whose bytes have been looked at since
+        connections.keep();  // input that prevented an eviction may have been processed since
         monitor.ended(LoopMonitor.Task.SWEEP, now);
     }
 
@@ -273,15 +283,16 @@
         }
     }
 
-    /** Why a connection ended before all that was read on it had its answer. */
+    /** Why a connection was closed before all requests on it were answered. */
     private enum CloseReason {
-        /** The client ended it, or it broke. */
+        /** The client closed it, or it failed. */
         CLIENT, REQUEST_TOO_SLOW, REQUEST_BROKEN, ANSWER_BROKEN, ANSWER_NOT_TAKEN, MADE_ROOM, FAULT
     }
 
+    /** A request that waits for its turn on its connection; {@code bodyRelay} is null if it is complete. */
     private record Arrived(FullHttpRequest message, Relay rest, long at) {
 
-        /** Nobody takes it. */
+        /** Releases a request that is not going to be handled. */
         private void drop() {
             message.release();
             if (rest != null) {
@@ -290,15 +301,16 @@
         }
     }
 
-    /** Reads requests. */
+    /** An HTTP request decoder that tells whether it holds undecoded input. */
     private static final class Requests extends HttpRequestDecoder {
 
-        /** Whether there are bytes of which no part of a request has come yet. */
+        /** Whether bytes have been read that were not decoded to a part of a request yet. */
         boolean midway() {
             return actualReadableBytes() > 0;
         }
     }
 
+    /** One client's connection: handles its requests one after the other, in the order in which they came. */
     private final class Connection extends SimpleChannelInboundHandler<Assembler.Part>
             implements Gateway.Client, ConnectionLimit.Held {
 
@@ -309,15 +321,15 @@
         private final Arrival arrival = new Arrival();
         private final Queue<Arrived> waiting = new ArrayDeque<>();
         private FullHttpRequest current;
-        private Relay currentRest;  // of its body, null where it came whole
-        private Relay coming;  // the rest of the body that is being read, the current request's or a later one's
-        private Relay going;  // the rest of the answer that is being written
-        private boolean expects;  // the request that is coming waits to be asked for its body
+        private Relay currentRest;  // null if the current request was complete when it was passed on
+        private Relay coming;  // of the request that is being read, the current one or a later one
+        private Relay going;  // of the response that is being written
+        private boolean expects;  // the client waits for a 100 response before it sends the body
         private Gateway.Exchange exchange;
         private String id;
-        private boolean read;
-        private boolean asked;  // a request of it has been taken
-        private boolean over;  // shut for writing: nothing is taken any more
+        private boolean read;  // since the last channelReadComplete
+        private boolean asked;  // at least one request was submitted to the gateway
+        private boolean over;  // no further requests are handled
         private CloseReason reason = CloseReason.CLIENT;
         private Throwable failure;  // of a read or write
         private long idleSince = gateway.now();
@@ -326,7 +338,7 @@
             this.channel = channel;
         }
 
-        /** Requests wait in their order while there are enough. */
+        /** Pauses reading while enough requests wait or the relay of the incoming body is full. */
         private void pace() {
             boolean takes = waiting.size() <= PIPELINED_REQUESTS_MOST && (coming == null || !coming.full());
             if (arrival.pause(!takes, gateway.now())) {
@@ -334,8 +346,8 @@
             }
         }
 
-        /** Whether anything could yet be sent on for the client: all but a body that is on its way to a host already, and
-            behind which nothing can have come. */
+        /** Whether a disconnect of the client could still prevent something from being sent to a host. That is not so
+            only while the current request's body is read and streamed to a host: no later request can have arrived. */
         private boolean departureMatters() {
             return exchange == null || !exchange.relays() || coming != currentRest;
         }
@@ -362,12 +374,13 @@
             gateway.tally().level(Tally.Level.CLIENT_CONNECTIONS, connections.size());
         }
 
-        /** Without a word: a 408 might cross a request, and be taken for its answer. */
+        /** Closes the connection if it has been idle, or has been sending a request, for too long. Sends no 408
+            response, which might cross a request and be taken for its response. */
         private void closeOverdue(long now) {
             boolean asked = !connections.silent(this);
             long idleMost = drained ? DRAINED_IDLE_MICROS_MOST : asked ? IDLE_MICROS_MOST : Arrival.HEAD_IN_MICROS;
             if (over) {
-                return;  // it closes by itself
+                return;  // a timer closes it
             }
             reading.pace();
             reading.readUnwatched();
@@ -375,13 +388,14 @@
                 end();
             } else if (arrival.begun() && (current == null || coming != null)
                     && arrival.overdue(now, asked ? 0 : idleSince, assembler.bytes())) {
-                close(CloseReason.REQUEST_TOO_SLOW);  // a part of a request is owed nothing
+                close(CloseReason.REQUEST_TOO_SLOW);  // an incomplete request needs no response
             }
         }
 
-        /** Ends the connection in order, by a lingering close: a half-close behind all that has been written, and what the
-            client still sends is read and dropped for a while. A close over unread bytes would be a reset, by which the
-            client may lose the answer before it. What is read from now on is not taken: the client hears that it ended. */
+        /** Closes the connection by a lingering close: shuts down the output after all that has been written, and for a
+            while reads and discards what the client still sends. A close with unread input would reset the connection,
+            by which the client may lose the last response. Later requests are not handled: the client sees that the
+            connection ended. */
         @Override
         public void end() {
             if (over || !channel.isActive()) {
@@ -400,12 +414,13 @@
             waiting.clear();
         }
 
-        /** Ends it at once, for a reason that is the gateway's. */
+        /** Closes the connection at once, for a reason other than the client's. */
         private void close(CloseReason why) {
             reason = why;
             channel.close();
         }
 
+        /** Logs the end of the connection if requests on it were not answered. */
         private void noteEnd() {
             if (exchange == null && waiting.isEmpty()) {
                 return;
@@ -437,7 +452,7 @@
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, Assembler.Part part) {
-            if (over) {  // read together with what it was ended on
+            if (over) {  // decoded from the same read as the request that ended the connection
                 new Arrived((FullHttpRequest) part.message(), part.rest(), 0).drop();
                 return;
             }
@@ -458,7 +473,7 @@
             }
         }
 
-        /** What was read without a whole request coming of it is a part of one, also behind a whole one. */
+        /** Starts the read timer if a part of a request has been read, alone or after a complete one. */
         @Override
         public void channelReadComplete(ChannelHandlerContext context) {
             arrival.read(gateway.now());
@@ -475,7 +490,7 @@
             read = false;
         }
 
-        /** A client that waits to be asked for its body is asked in its turn, unless it is not to be sent. */
+        /** Notes deferred writes, and clients that expect a 100 response before they send a body. */
         @Override
         public void userEventTriggered(ChannelHandlerContext context, Object event) {
             if (event == TcpChannel.WriteDeferred.INSTANCE) {
@@ -488,6 +503,7 @@
             }
         }
 
+        /** Sends a 100 response once it is the turn of the request that expects it. */
         private void askForBody() {
             if (expects && (current == null || currentRest == coming && coming != null)) {
                 expects = false;
@@ -546,7 +562,7 @@
             }
         }
 
-        /** A client may name the whole address; hosts are asked for the path. */
+        /** Converts a request target in absolute form to origin form, which hosts are sent. */
         private static String originForm(String uri) {
             int scheme = uri.regionMatches(true, 0, "http://", 0, 7) ? 7 : 0;
             int path = scheme == 0 ? 0 : uri.indexOf('/', scheme);
@@ -564,28 +580,28 @@
                     || !passable(trace) || !passable(message.uri()) || !passable(headers.get(REPEAT_KEY, keyed ? "" : "-"))
                     || ONCE.stream().anyMatch(name -> headers.getAll(name).size() > 1);
             if (message.method().equals(HttpMethod.GET) && (message.content().isReadable() || currentRest != null)) {
-                plain(HttpResponseStatus.BAD_REQUEST, true);  // hosts that pass a body over would read it as a request
+                plain(HttpResponseStatus.BAD_REQUEST, true);  // a host that ignores the body would read it as a request
             } else if (!message.method().equals(HttpMethod.GET) && !message.method().equals(HttpMethod.POST)
                     || !bad && message.method().equals(HttpMethod.GET) != (type.idempotency() == Idempotency.SAFE)) {
                 plain(HttpResponseStatus.METHOD_NOT_ALLOWED, false);
             } else if (bad) {
                 plain(HttpResponseStatus.BAD_REQUEST, false);
             } else if (!open.add(trace)) {
-                plain(HttpResponseStatus.CONFLICT, false);  // whose answer would it be?
+                plain(HttpResponseStatus.CONFLICT, false);  // responses with one id could be confused
             } else {
                 id = trace;
                 long left = Math.min(expires * 1000, type.deadline()) - waited - queued();
                 long work = Math.max(0, number(headers.get("X-Size-Hint")));
                 Gateway.Exchange taken = gateway.take(this, message, currentRest, type.name(), tenant,
                         key(headers.get("X-Object")), left, "1".equals(headers.get("X-Second-Try")), work);
-                if (taken != null) {  // or it has been answered, and the next one may have been taken already
+                if (taken != null) {  // otherwise it was answered, and the next request may have been submitted already
                     exchange = taken;
                 }
             }
         }
 
-        /** How much of the time of a connection's first request may have passed in the system's queue: hosts must not be told
-            more than its client has left, but for a slack of which a part is kept for hold-ups. */
+        /** How much of the time of a connection's first request may have passed in the accept queue: a host must not be
+            given more time than the client has left, except for a tolerance of which a part is reserved for delays. */
         private long queued() {
             if (asked) {
                 return 0;
@@ -594,12 +610,12 @@
             return Math.max(0, ((TcpChannel) channel).mayHaveWaited() - QUEUED_SLACK_MICROS);
         }
 
-        /** Whether it goes on as it came: other than visible ASCII would be changed on the way. */
+        /** Whether the text can be forwarded unchanged, which holds for visible ASCII characters only. */
         private static boolean passable(String text) {
             return !text.isEmpty() && text.chars().allMatch(c -> c > ' ' && c <= '~');
         }
 
-        /** The same at every gateway, whatever the form of the name. */
+        /** Hashes an object's name to its key, equally at every gateway. */
         private static Long key(String object) {
             if (object == null) {
                 return null;
@@ -611,7 +627,7 @@
             return hash;
         }
 
-        /** Of what is no number, or more than fits: -1. */
+        /** Parses an int; -1 for other text. */
         private static long number(String text) {
             try {
                 return text == null ? -1 : Integer.parseInt(text.strip());
@@ -620,7 +636,7 @@
             }
         }
 
-        /** Where reading pauses for want of memory there is nothing to look at. */
+        /** While reading is paused for lack of memory, this tells only what was known before. */
         @Override
         public boolean present() {
             ((TcpChannel) channel).readNow();
@@ -641,7 +657,8 @@
             }
         }
 
-        /** With the length where it is told; else in chunks, or up to the connection's end for a client without them. */
+        /** Declares the body's length if it is known; otherwise sends chunks or, to a client without HTTP/1.1, a body
+            that ends with the connection. */
         @Override
         public void begun(FullHttpResponse answer, Relay rest, Consumer<Boolean> passed) {
             HttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
@@ -664,14 +681,14 @@
                     answered(keep);
                     return;
                 }
-                if (!told && !chunks) {  // an orderly close would pass for the answer's end
+                if (!told && !chunks) {  // a regular close would look like the end of the body
                     channel.config().setOption(ChannelOption.SO_LINGER, 0);
                 }
                 close(CloseReason.ANSWER_BROKEN);
             });
         }
 
-        /** Whole seconds, as HTTP has them. */
+        /** The Retry-After header takes whole seconds. */
         @Override
         public void refused(long retryAfter) {
             FullHttpResponse response = empty(HttpResponseStatus.SERVICE_UNAVAILABLE);
@@ -692,13 +709,14 @@
             return new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, Unpooled.EMPTY_BUFFER);
         }
 
+        /** Whether the connection stays open after the response to the current request. */
         private boolean keeps() {
             boolean more = !closing || !waiting.isEmpty() || unread();
             return more && HttpUtil.isKeepAlive(current) && (currentRest == null || currentRest.whole());
         }
 
         private void write(FullHttpResponse response, boolean close) {
-            if (going != null) {  // there is a part of an answer out already
+            if (going != null) {  // a part of another response has been sent
                 response.release();
                 close(CloseReason.ANSWER_BROKEN);
                 return;
@@ -709,13 +727,13 @@
             channel.writeAndFlush(response).addListener(done -> answered(keep && done.isSuccess()));
         }
 
-        /** The answer is out, be its request whole by then or not. */
+        /** The response has been written, whether or not the whole request had arrived. */
         private void answered(boolean keep) {
             exchange = null;
             open.remove(id);
             id = null;
             if (currentRest != null) {
-                currentRest.abandon();  // it has been written, or nobody takes it
+                currentRest.abandon();  // its body has been streamed, or is not needed
             }
             current = null;
             currentRest = null;
--- a/src/main/java/mastdrift/net/ConnectionLimit.java
+++ b/src/main/java/mastdrift/net/ConnectionLimit.java
@@ -9,29 +9,31 @@
 import java.util.function.Consumer;
 import java.util.stream.Stream;
 
-/** The connections that clients hold, how many there may be, and who makes room at that bound: first who has been ended
-    already, then who never asked, then who rests longest, then the newcomer itself, last who is in the midst of sending. Used
-    on one loop's thread.
+/** Limits the number of client connections and chooses which one is closed when the limit is exceeded: first those in a
+    lingering close, then those that never sent a request, then the longest idle, then the newest connection itself, and
+    last those that are sending a request. Connections with a request in progress are not closed. Used on one event
+    loop's thread.
 
     @param <C> a client's connection */
 final class ConnectionLimit<C extends ConnectionLimit.Held> {
 
-    /** One connection, as far as its place goes. */
+    /** A connection that may have to be closed. */
     interface Held {
 
-        /** Whether a part of a request is there, or bytes that have not been looked at. */
+        /** Whether a part of a request, or unprocessed input, has arrived. */
         boolean sending();
 
-        /** Whether bytes have been read that have not been looked at. */
+        /** Whether input has been read and not been processed. */
         boolean unread();
 
-        /** Ends it in order: it lingers until its client closes, or for a while. */
+        /** Starts a lingering close, which ends when the client closes its side, or after a while. */
         void end();
 
-        /** Ends it at once. */
+        /** Closes the connection at once. */
         void close();
     }
 
+    // By this time after a connection was accepted, the loop has read its first input.
     private static final long LOOKED_MILLIS = 1;
 
     private final EventLoop loop;
@@ -39,16 +41,16 @@
     private final Consumer<Boolean> accept;
     private final Runnable pushedOut;
     private final Set<C> all = new HashSet<>();
-    private final LinkedHashSet<C> silent = new LinkedHashSet<>();  // never asked yet, the eldest first
-    private final LinkedHashSet<C> idle = new LinkedHashSet<>();  // the longest idle first
-    private final LinkedHashSet<C> lingering = new LinkedHashSet<>();  // shut for writing, the eldest first
+    private final LinkedHashSet<C> silent = new LinkedHashSet<>();  // those without a first request, oldest first
+    private final LinkedHashSet<C> idle = new LinkedHashSet<>();  // longest idle first
+    private final LinkedHashSet<C> lingering = new LinkedHashSet<>();  // in a lingering close, oldest first
     private final Set<C> unlooked = new HashSet<>();
-    private C newest;  // of those that are here
+    private C newest;  // null if that one has been closed
     private boolean making;
     private boolean accepting = true;
 
-    /** Holds about {@code most} connections; {@code accept} hears whether more are wanted, and {@code pushedOut} of each
-        that makes room. */
+    /** Allows about {@code maxConnections} connections. {@code acceptSwitch} is told when to accept more and when not
+        to; {@code onEvicted} runs for each connection that is closed for the limit. */
     ConnectionLimit(EventLoop loop, int most, Consumer<Boolean> accept, Runnable pushedOut) {
         this.loop = loop;
         this.most = most;
@@ -60,7 +62,7 @@
         return all.size();
     }
 
-    /** How many more may come. */
+    /** How many more connections may be accepted. */
     int room() {
         return Math.max(0, most - all.size());
     }
@@ -69,7 +71,7 @@
         return List.copyOf(all);
     }
 
-    /** Those that wait for their client, the eldest silent one first. */
+    /** Connections without a request in progress, beginning with those that never sent one, oldest first. */
     List<C> resting() {
         return Stream.concat(silent.stream(), idle.stream()).toList();
     }
@@ -78,16 +80,17 @@
         return silent.contains(connection);
     }
 
+    /** Adds a connection that has been accepted. */
     void came(C connection) {
         all.add(connection);
         silent.add(connection);
         unlooked.add(connection);
         newest = connection;
-        // The loop looks at all sockets before it comes to what one of its tasks has put off.
+        // A timer that one of the loop's tasks sets runs only after the loop has processed all sockets.
         loop.execute(() -> loop.schedule(() -> looked(connection), LOOKED_MILLIS, TimeUnit.MILLISECONDS));
         if (all.size() > most && !lingering.isEmpty()) {
             C eldest = lingering.iterator().next();
-            lingering.remove(eldest);  // it is gone only later, and the next newcomer is to close another
+            lingering.remove(eldest);  // its close is reported only later, and the next new connection has to close another
             eldest.close();
         }
         keep();
@@ -98,24 +101,26 @@
         keep();
     }
 
-    /** A request of it has been read. */
+    /** A request has been read on the connection. */
     void asked(C connection) {
         silent.remove(connection);
         idle.remove(connection);
     }
 
-    /** It has been asked on and waits for the next request. */
+    /** The connection has no request in progress and waits for the next. */
     void rests(C connection) {
         idle.add(connection);
         keep();
     }
 
+    /** The connection is in a lingering close. */
     void lingers(C connection) {
         asked(connection);
         lingering.add(connection);
         keep();
     }
 
+    /** Removes a connection that has been closed. */
     void gone(C connection) {
         asked(connection);
         all.remove(connection);
@@ -125,13 +130,14 @@
         keep();
     }
 
-    /** Those that have just come have not been looked at, and a request may lie in their sockets: while only such could go,
-        nothing more is accepted. Who lingers leaves as soon as another comes. */
+    /** Closes connections in excess of the limit, and stops accepting while there are too many. A new connection is not
+        closed before its first read, since a request may wait in its socket: while only such could be closed, no more
+        are accepted. Lingering connections do not count, as a new connection replaces them. */
     void keep() {
         if (making) {
             return;
         }
-        making = true;  // each end comes back here
+        making = true;  // closing a connection calls this method again
         try {
             makeRoom();
         } finally {
@@ -152,13 +158,13 @@
             }
             pushedOut.run();
             first.end();
-            asked(first);  // also where it has ended by itself, and is not gone yet: it is not to be met again
+            asked(first);  // it may have closed by itself without being removed yet: not to be chosen again
         }
     }
 
-    /** Whose turn it is to go; null where nobody waits for a client. */
+    /** The connection to close next; null if all have requests in progress. */
     private C first() {
-        C eldest = null;  // of those that are sending
+        C eldest = null;  // first connection that is sending a request
         for (Set<C> waiting : List.of(silent, idle)) {
             for (C connection : waiting) {
                 if (connection != newest && !connection.sending()) {
--- a/src/main/java/mastdrift/net/Gateway.java
+++ b/src/main/java/mastdrift/net/Gateway.java
@@ -33,58 +33,61 @@
 import mastdrift.Balancer.LoadReportMode;
 import mastdrift.Balancer.Settings;
 
-/** Drives the module: its clock, its timers, the ledger of requests and attempts, and one final answer a request.
-    Everything happens on the event loop's thread. */
+/** Connects a {@link Balancer} to the network: supplies its clock and timers, tracks open requests and their attempts,
+    and sees to it that each request gets exactly one final response. Used on the event loop's thread alone. */
 final class Gateway implements Balancer.Actions {
 
-    // The time left counts from the client's send and the answer has to travel: so much of it is kept back.
+    // A client's deadline counts from its send, and the response still has to reach it: this much of the time is
+    // reserved.
     private static final long ANSWER_MARGIN_MICROS = 5_000;
-    // A request still open so long after the module's time for it is failed, whatever the module thinks.
+    // A request that the balancer has left open for this long after its deadline is failed by the gateway.
     private static final long BACKSTOP_MICROS = 2_000;
-    // A probe is answered beside the queue: no answer by then is none.
+    // Hosts answer probes ahead of their request queue, so a probe without a response by then has failed.
     private static final long PROBE_TIMEOUT_MICROS = 250_000;
     private static final long TALLY_SPAN_MICROS = 5_000_000;
-    private static final long FIGURES_SPAN_MICROS = 200_000;  // figures may lag by half a second
+    private static final long FIGURES_SPAN_MICROS = 200_000;  // metrics may lag by half a second
     private static final String[] PASSED_ON = {"X-Trace-Id", "Idempotency-Key"};
 
-    // What a client sends behind its request, its end among it, is looked at before an attempt where the last look is older:
-    // the loop may have been held up since, or have met a host's event ahead of the client's.
+    // Before an attempt, a client's connection is read again if the last check is older than this: the client may have
+    // disconnected while the event loop was delayed, or the loop may handle a host's event ahead of the client's.
     static final long LOOK_AFTER_MICROS = 50_000;
 
-    /** Where the one final answer goes. */
+    /** The client of a request, which receives exactly one final response. */
     interface Client {
-        /** Looks at what has come on the connection by now; false where the client has gone. */
+        /** Reads what has arrived on the connection; false if the client has disconnected. */
         boolean present();
 
-        /** With a host's answer, which the caller releases. */
+        /** Sends a host's complete response, which the caller releases. */
         void served(FullHttpResponse answer);
 
-        /** With a host's answer that has begun, which the caller releases, and a rest to be written; {@code passed} hears
-            whether all has been, unless the client departs before. */
+        /** Sends the start of a host's response, which the caller releases, and then the rest of its body from the
+            relay. {@code onWritten} is told whether all of it was written, unless the client disconnects before. */
         void begun(FullHttpResponse answer, Relay rest, Consumer<Boolean> passed);
 
+        /** Sends a refusal that asks the client to retry after so many microseconds. */
         void refused(long retryAfter);
 
+        /** Sends a failure: a timeout if {@code late}, and otherwise a bad gateway. */
         void failed(boolean late);
     }
 
-    /** A request that was taken, until it has ended and all its attempts have. */
+    /** An accepted request, kept until both the request and all its attempts have ended. */
     final class Exchange {
         private final long id = nextId++;
         private final Client client;
         private final String className;
         private final FullHttpRequest message;
         private final String trace;
-        private final Relay rest;  // of its body, null where the message is whole
+        private final Relay rest;  // the rest of the body, null if the request is complete
         private final long kept;
-        private long lookedAt = now();  // for the client's departure
+        private long lookedAt = now();  // when the connection was last checked for a disconnect
         private final List<HostPool.Attempt> attempts = new ArrayList<>(2);
         private Future<?> backstop;
         private long due;  // on the gateway's clock
-        private boolean coming;  // the rest
-        private boolean relaying;  // the message has gone out and is not kept
-        private boolean begun;  // the answer
-        private int out;
+        private boolean coming;  // a part of the body has not arrived
+        private boolean relaying;  // the body is being sent to a host and is not kept for a retry
+        private boolean begun;  // the response has started to go out to the client
+        private int out;  // attempts whose outcome has not been reported to the balancer
         private boolean late;
         private boolean ended;
 
@@ -108,8 +111,8 @@
             backstop = loop.schedule(() -> overdue(this), left + BACKSTOP_MICROS, TimeUnit.MICROSECONDS);
         }
 
-        /** The gateway's own end has come closer. Not where the backstop is off: in the midst of a body the time is that of
-            who sends it. */
+        /** Applies an earlier deadline of the gateway. The timer stays off while a body is in transit: that is bounded
+            by the time limits on the connection that sends it. */
         private void boundBackstop() {
             if (!backstop.isDone()) {
                 backstop.cancel(false);
@@ -117,12 +120,12 @@
             }
         }
 
-        /** Whether its body is on its way to a host, so that nothing more can be sent for it. */
+        /** Whether the body is being sent to a host, so that no other attempt can be made. */
         boolean relays() {
             return relaying;
         }
 
-        /** All of it is there and its time counts, or its end makes that of no matter. */
+        /** The body has arrived, or the request has ended before: it counts as in flight, or no longer at all. */
         private void whole() {
             if (coming) {
                 coming = false;
@@ -131,12 +134,12 @@
             }
         }
 
-        /** The client went away: nothing more is owed. */
+        /** The client has disconnected and needs no response. */
         void departed() {
             if (!ended) {
                 tally.add(Tally.Count.DEPARTED);
                 finish(this);
-                if (rest != null || begun) {  // what comes or goes in pieces has lost its other end
+                if (rest != null || begun) {  // a streamed body has lost its source or its destination
                     attempts.forEach(HostPool.Attempt::cancel);
                 }
                 event(null, now -> module.clientLeft(now, id));
@@ -161,13 +164,13 @@
     private long nextId = 1;
     private long answerBy = Long.MAX_VALUE;
     private int open;
-    private int incoming;  // of those that are open: requests of which a rest is to come, not taken before
+    private int incoming;  // of the open requests, those whose body has not arrived yet
     private final LongSupplier nanoTime;
     private final long startedAt;
     private final HostStarts starts;
 
-    /** Starts the module; on the loop's thread. The clock runs in nanoseconds from any origin.
-        {@code out} takes lines of the log, and must not block. */
+    /** Starts the balancer; must be called on the loop's thread. {@code nanoTime} counts from an arbitrary origin.
+        {@code logOutput} receives log lines and must not block. */
     Gateway(Config config, EventLoop loop, LongSupplier nanoTime, Balancer module, Tally tally, int hostConnections,
             int openMost, Consumer<String> out) {
         this.loop = loop;
@@ -198,38 +201,40 @@
         }
     }
 
-    /** Done once discovery has told its first list, or that it won't now. Where lists are pushed what it has counts as told
-        from the start of the process on, so that nobody should be served by the list of before. */
+    /** Completes with the first list from discovery, or with its first failure. Where lists are pushed, the rules count
+        a list as known from the start of the process on, so that no client should be served by the configured, older
+        list. */
     CompletableFuture<Void> heard() {
         return heard;
     }
 
-    /** Microseconds; runs on evenly from the Unix time at the start, in which hosts' starts are told. */
+    /** Microseconds since the Unix epoch as of the start, and steady from then on: clock changes do not affect it.
+        Hosts' start times are given in Unix time. */
     long now() {
         return startedAt + nanoTime.getAsLong() / 1000;
     }
 
-    /** What is out of the ordinary; the clients' side adds its part. */
+    /** The log of unusual events, to which the client connections add theirs. */
     EventLog events() {
         return log;
     }
 
-    /** Hears how long the loop's tasks take. */
+    /** Measures how long the event loop's tasks take. */
     LoopMonitor monitor() {
         return monitor;
     }
 
-    /** What is counted for the log; the clients' side adds its part. */
+    /** The counters for log and metrics, to which the client connections add theirs. */
     Tally tally() {
         return tally;
     }
 
-    /** Keeps the figures fresh that are not counted but looked at. */
+    /** Starts to update those metrics that are polled from the balancer rather than counted. */
     void keepFigures() {
         Periodic.every(loop, FIGURES_SPAN_MICROS, () -> tally.set(Tally.Gauge.HOSTS_EXCLUDED, module.excludedHostCount(now())), this::log);
     }
 
-    /** Whether all that was taken, and every attempt at it, has ended and nothing is held for it any more. */
+    /** Whether all requests and their attempts have ended and no resources are held for them. */
     boolean owesNothing() {
         return open == 0 && incoming == 0 && ledger.isEmpty() && hosts.busy() == 0;
     }
@@ -241,25 +246,25 @@
         }
     }
 
-    /** All requests, those that are open and those that come, are answered by then, on the gateway's clock: the process is
-        about to end. What is being passed on in pieces may last longer. */
+    /** Sets the time, on the gateway's clock, by which all open and future requests are answered, since the process is
+        about to end. Bodies that are being streamed may take longer. */
     void answerBy(long at) {
         answerBy = at;
         ledger.values().stream().filter(exchange -> !exchange.ended).forEach(Exchange::boundBackstop);
     }
 
-    /** A successor takes over what comes from now on. */
+    /** Reduces idle connections to hosts: a successor process serves new requests from now on. */
     void retire() {
         hosts.retire();
     }
 
-    /** Discovery is to be asked at another address. */
+    /** Moves discovery to another address. */
     void discoverAt(InetSocketAddress at) {
         log("discovery at " + NetUtil.toSocketAddressString(at));
         discovery.move(at);
     }
 
-    // ---- events: one after the other, never one inside another
+    // ---- events: dispatched one after the other, never nested
 
     private void event(Exchange exchange, LongConsumer event) {
         if (!loop.inEventLoop()) {
@@ -269,7 +274,7 @@
         events.add(() -> {
             try {
                 event.accept(now());
-            } catch (RuntimeException | Error fault) {  // memory may run out for one request and be there for the next
+            } catch (RuntimeException | Error fault) {  // an out-of-memory error may concern one request alone
                 log("fault in an event: " + fault + Arrays.stream(fault.getStackTrace()).limit(1).toList());
                 if (exchange != null && !exchange.ended) {
                     finish(exchange);
@@ -288,7 +293,7 @@
                 next.run();
             }
         } finally {
-            inEvent = false;  // or no event would ever be heard again
+            inEvent = false;  // otherwise no further event would be dispatched
         }
     }
 
@@ -318,8 +323,8 @@
         tally.set(Tally.Gauge.IN_FLIGHT, open - incoming);
     }
 
-    /** Takes a request, which keeps its message; the time left counts from its last byte, and the rest is null where that
-        has come. Null where it was answered at once. */
+    /** Accepts a request, retaining its message. {@code timeLeft} counts from the request's last byte;
+        {@code bodyRelay} is null if the request is complete. Returns null if the request was answered at once. */
     Exchange take(Client client, FullHttpRequest message, Relay rest, String className, String tenant, Long key,
             long left, boolean repeated, long work) {
         tally.add(Tally.Count.TAKEN);
@@ -349,7 +354,7 @@
         return exchange.ended ? null : exchange;
     }
 
-    /** The module owes an answer in time, and this keeps the promise where it doesn't. */
+    /** Fails a request that the balancer has not answered by its deadline. */
     private void overdue(Exchange exchange) {
         if (!exchange.ended) {
             tally.add(Tally.Count.OVERDUE);
@@ -378,7 +383,7 @@
         if (exchange.rest != null) {
             exchange.rest.abandon();
         }
-        exchange.attempts.forEach(HostPool.Attempt::withdraw);  // one that still waits for its connection is for nobody
+        exchange.attempts.forEach(HostPool.Attempt::withdraw);  // those that still wait for a connection are not needed
         forget(exchange);
     }
 
@@ -408,7 +413,7 @@
         });
     }
 
-    /** The answer's rest goes to the client as it comes: the attempt is the client's from now on. */
+    /** Streams the rest of the response to the client: from now on no other attempt can answer the request. */
     private void begun(Exchange exchange, int number, FullHttpResponse answer, Relay rest) {
         if (exchange.ended || exchange.begun) {
             rest.abandon();
@@ -442,10 +447,10 @@
         FullHttpRequest message = onward(exchange);
         exchange.attempts.add(hosts.send(uid, message, exchange.rest, refused ? 0 : timeout,
                 new Course(exchange, number, uid)));
-        exchange.out++;  // only now: of what could not be sent there is no outcome
+        exchange.out++;  // not before: a send that threw an exception has no outcome
     }
 
-    /** An attempt that is about to begin is not for a client that has gone. */
+    /** Checks, before an attempt starts, that the client has not disconnected. */
     private void lookForDeparture(Exchange exchange) {
         long now = now();
         if (exchange.ended || now - exchange.lookedAt < LOOK_AFTER_MICROS) {
@@ -457,8 +462,8 @@
         }
     }
 
-    /** What becomes of one attempt. Its elapsed time is the host's: up to the answer's first bytes where that is passed
-        on, and from the last byte of a request that is relayed. */
+    /** Follows one attempt. Its elapsed time is the host's share: it starts at the last byte of a request that is
+        relayed, and ends at the first bytes of a response that is streamed. */
     private final class Course implements HostPool.Ended {
 
         private final Exchange exchange;
@@ -523,7 +528,7 @@
                 message.headers().set(name, from.headers().get(name));
             }
         }
-        if (exchange.rest != null) {  // framed as it came
+        if (exchange.rest != null) {  // keeps the framing that the client used
             HttpUtil.setTransferEncodingChunked(message, HttpUtil.isTransferEncodingChunked(from));
             if (HttpUtil.isContentLengthSet(from)) {
                 message.headers().set(HttpHeaderNames.CONTENT_LENGTH, HttpUtil.getContentLength(from));
@@ -605,10 +610,10 @@
         hosts.closeIdle(uid);
     }
 
-    /** The settings allow no messages between gateways; the module sends none. */
+    /** Unsupported: the settings allow no messages between gateways, so the balancer sends none. */
     @Override
     public void sendToPeer(int peer, byte[] message) {
-        throw new UnsupportedOperationException("gateways share nothing");
+        throw new UnsupportedOperationException("messages between gateways are not supported");
     }
 
     @Override
--- a/src/main/java/mastdrift/net/Listener.java
+++ b/src/main/java/mastdrift/net/Listener.java
@@ -12,21 +12,21 @@
 import java.util.function.LongConsumer;
 import java.util.function.LongSupplier;
 
-/** The socket that clients connect to, and the one owner of whether it accepts. A call that fails says nothing of those who
-    wait in the queue: accepting goes on some milliseconds later, where the library would rest for a second. The system
-    accepts connections, and what is written on them, before the program does: a close would reset those that it has not taken
-    from the system by then. Used on its event loop. */
+/** The listening socket for clients, which alone decides whether connections are accepted. After a failed accept call,
+    which says nothing about the connections in the queue, accepting continues some milliseconds later; Netty would
+    pause for a second. The system completes connections, and receives data on them, before the program accepts them:
+    closing the socket would reset those that are still in the queue. Used on its event loop's thread. */
 final class Listener extends NioServerSocketChannel {
 
-    /** Between a call that failed and the next. */
+    /** Pause after a failed accept call. */
     static final long RETRY_MILLIS = 5;
     private static final int TRIES_AT_ONCE = 8;
-    // So often the queue is tried again at the end, before it is given up.
+    // Failed accept calls after which the queue is given up when the socket is to be closed.
     private static final int LAST_TRIES = 100;
 
-    // Behind a pause the loop has looked at the queue by then.
+    // By this time after a pause, the loop has accepted from the queue.
     private static final long LOOKED_MILLIS = 1;
-    // By then the selector has heard that nothing is wanted.
+    // By this time the selector has processed that the socket is not to be watched.
     private static final long REARM_MILLIS = 1;
 
     private final LongSupplier clock;
@@ -35,26 +35,27 @@
     private boolean wanted = true;
     private boolean resting;
     private boolean rearming;
-    private boolean watched;  // the selector has told of a connection since it was last asked to
-    private boolean looking;  // though the selector has told of nothing
+    private boolean watched;  // the selector has reported a connection since accepting last began
+    private boolean looking;  // accepting without a report of the selector
     private long lookedAt;
-    private boolean draining;  // the queue has been met with a connection and not with its end
-    private boolean blocked;  // connections may lie in the queue that came during a pause
+    private boolean draining;  // the last accept call found a connection, so more may follow
+    private boolean blocked;  // the queue may hold connections that arrived during a pause
     private long blockedSince;
 
-    /** To be bound; {@code failures} hears of each call that failed. The clock runs in microseconds from any origin. */
+    /** A socket to be bound. {@code onFailure} receives the exception of each failed accept call; the clock counts
+        microseconds from an arbitrary origin. */
     Listener(LongSupplier clock, Consumer<Exception> failures) {
         this(clock, failures, begunAt -> { });
     }
 
-    /** Likewise; {@code accepted} hears behind each look at the queue when that look began. */
+    /** As above; {@code onAcceptEnded} receives, after each round of accept calls, the time at which it started. */
     Listener(LongSupplier clock, Consumer<Exception> failures, LongConsumer accepted) {
         this.clock = clock;
         this.failures = failures;
         this.accepted = accepted;
     }
 
-    /** One that others have bound, and may hold as well. */
+    /** A socket that was bound by another process, which may still hold it. */
     Listener(ServerSocketChannel passed, LongSupplier clock, Consumer<Exception> failures, LongConsumer accepted) {
         super(passed);
         this.clock = clock;
@@ -62,7 +63,7 @@
         this.accepted = accepted;
     }
 
-    /** Whether connections are to be accepted from now on. */
+    /** Starts or stops accepting connections. */
     void accept(boolean accepts) {
         wanted = accepts;
         apply();
@@ -78,7 +79,7 @@
         if (!accepts) {
             block();
         } else if (blocked && isRegistered()) {
-            // The loop looks at all sockets before it comes to what one of its tasks has put off.
+            // A timer that one of the loop's tasks sets runs only after the loop has processed all sockets.
             eventLoop().execute(() -> eventLoop().schedule(this::unblockUnlessPaused, LOOKED_MILLIS, TimeUnit.MILLISECONDS));
         }
         config().setAutoRead(accepts);
@@ -91,15 +92,16 @@
         }
     }
 
-    /** What has not been met by now came later; while some are met the queue tells its end itself. */
+    /** Connections that have not been accepted by now arrived after the pause. While some are being accepted, the mark
+        is cleared when the queue is found empty. */
     private void unblockUnlessPaused() {
         if (accepts() && !draining) {
             blocked = false;
         }
     }
 
-    /** To be called now and then: looks at the queue where the selector has not told of anything since it was asked to. The
-        system may have had no memory to watch this socket, of which the JDK tells nobody. */
+    /** To be called periodically: accepts from the queue if the selector has reported nothing since accepting began.
+        The system may have lacked the memory to watch this socket, which the JDK does not report. */
     void lookUnwatched() {
         long now = clock.getAsLong();
         if (!watched && accepts() && isActive()) {
@@ -115,7 +117,7 @@
         lookedAt = now;
     }
 
-    /** Has the selector watch the socket anew. */
+    /** Makes the selector watch the socket again. */
     private void rearm() {
         rearming = true;
         apply();
@@ -125,8 +127,9 @@
         }, REARM_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    /** A call that fails, or finds nothing where the system has told of a connection, is made again at once a few times; only
-        then accepting rests. {@code into} holds what this turn of the loop has taken before. */
+    /** Accepts one connection. A call that fails, or finds none although the selector reported one, is repeated at once
+        a few times before accepting pauses. {@code into} holds the connections that this turn of the loop has accepted
+        before. */
     @Override
     protected int doReadMessages(List<Object> into) throws Exception {
         long begunAt = clock.getAsLong();
@@ -163,7 +166,7 @@
         }
     }
 
-    /** One connection, if there is one; how many were taken. */
+    /** Accepts one connection if there is one; returns the number accepted. */
     private int take(List<Object> into) throws IOException {
         SocketChannel accepted = javaChannel().accept();
         if (accepted == null) {
@@ -190,7 +193,7 @@
         }, RETRY_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    /** Takes what the system has accepted, up to {@code most} connections, and closes behind the last of it. */
+    /** Accepts the connections in the queue, up to {@code maxConnections}, and closes the socket after the last. */
     void closeBehindTheLast(int most) {
         closeBehindTheLast(most, LAST_TRIES);
     }
--- a/src/main/java/mastdrift/net/Main.java
+++ b/src/main/java/mastdrift/net/Main.java
@@ -21,41 +21,44 @@
 import java.util.logging.Logger;
 import mastdrift.HeadroomBalancer;
 
-/** One real gateway: wires its parts, reads its configuration again at SIGHUP, and ends them at SIGTERM. */
+/** The gateway process: creates and connects its parts, reloads its configuration at SIGHUP, and shuts down gracefully
+    at SIGTERM. */
 public final class Main {
 
-    // Of the descriptors: for the program's own files (some 20), discovery, and connections that come and go.
+    // Descriptors for the program's own files (some 20), discovery, and connections that are being opened or closed.
     private static final int RESERVED_DESCRIPTORS = 48;
-    // Requests are answered long before; what is being passed on in pieces may last, and is owed its rest while it comes.
+    // Requests are answered long before; bodies that are being streamed may take longer and are finished while they
+    // make progress.
     private static final int STOP_SECONDS = 30;
-    // An agent on this machine answers at once; while it is silent there is nothing to hear.
+    // An agent on this machine answers at once; a longer wait for one that does not would be in vain.
     private static final long FIRST_LIST_MILLIS = 300;
-    // The address may be held by a process that is about to end, and the system may lack a socket for a moment: five seconds.
+    // For five seconds: the address may be in use by a process that is about to end, or the system may lack a socket.
     private static final int LISTEN_TRIES = 50;
     private static final long LISTEN_RETRY_MILLIS = 100;
     private static final int READ_TRIES = 20;
-    // The end of the process waits so long for an output that takes no lines; it comes before the platform's SIGKILL.
+    // At its end the process waits this long for a log output that takes no lines; the platform's SIGKILL comes later.
     private static final long LOG_FLUSH_MILLIS = 100;
     private static final String REHEARSE = "rehearse";
 
-    /** The library's log, made when it is first asked for: that takes longer than a signal may be left unheard. */
+    /** Netty's logger, created on first use: creating it takes longer than a signal may stay without a handler. */
     private static final class LibraryLog {
-        // Kept, since a logger that nobody holds forgets its level.
+        // A strong reference, since a logger that is garbage-collected loses its level.
         private static final Logger LOGGER = Logger.getLogger("io.netty");
     }
 
     private Main() { }
 
-    /** Runs until SIGTERM, or with {@code rehearse} until the rehearsal's end, by which the build learns what classes a
-        start loads; exits with status 2 where the configuration can't be run with. */
+    /** Runs until SIGTERM. With the argument {@code rehearse}, runs the rehearsal only, from which the build learns
+        which classes are loaded at a start. Exits with status 2 if the configuration is invalid. */
     public static void main(String[] args) {
-        // First of all, or the signal would end the program. One that comes during the start is heard after it.
+        // First of all, since without a handler the signal would end the process. A signal during the start is handled
+        // after it.
         CompletableFuture<Reloader> reloader = new CompletableFuture<>();
         onHangUp(() -> reloader.thenAccept(Reloader::signalled));
-        // The library logs a failed accept; out of descriptors the log's own files can't be opened, and the error that
-        // comes of it would end the loop's thread and with it the gateway.
+        // Netty logs a failed accept. Without free descriptors the logger can't open its own files, and the resulting
+        // error would end the loop's thread and with it the gateway.
         LibraryLog.LOGGER.setLevel(Level.OFF);
-        // A connection whose options can't be set is as good as another, and its client's request is owed an answer.
+        // A connection whose socket options can't be set is still usable, and its client's request needs a response.
         System.setProperty("io.netty.bootstrap.closeOnSetOptionFailure", "false");
         EventLoop loop = loop();
         Life life = new Life();
@@ -71,14 +74,14 @@
             Rehearsal.play(config, admin, build, loop(), log);
             if (build) {
                 log.flush(LOG_FLUSH_MILLIS);
-                System.exit(0);  // a halt would leave no archive
+                System.exit(0);  // a halt would not write the archive of classes
             }
             if (admin != null) {
                 log.accept("operators may call " + admin);
             }
             ClientSide clients = prepare(config, loop, System::nanoTime, life, tally, log);
             reloader.complete(reloader(clients.gateway(), loop));
-            // Before the first request can come: from then on an end without this would lose what was taken.
+            // Before the first request can arrive: from then on an end without this would lose accepted requests.
             Runtime.getRuntime().addShutdownHook(new Thread(() -> stop(loop, clients, log)));
             awaitFirstList(clients.gateway(), FIRST_LIST_MILLIS);
             listen(clients, config, passed, loop, life, log);
@@ -86,13 +89,13 @@
             Throwable cause = e instanceof CompletionException ? e.getCause() : e;
             LogWriter errors = LogWriter.to(FileDescriptor.err, () -> { });
             errors.accept("can't start: " + cause.getMessage());
-            end(errors, 2);  // there is nothing to finish
+            end(errors, 2);  // no requests to finish
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** Ends the process with that status, once the log is written or its output has taken nothing for a moment. */
+    /** Halts the process with that status once the log is written, or its output has taken nothing for a moment. */
     private static void end(LogWriter log, int status) {
         try {
             log.flush(LOG_FLUSH_MILLIS);
@@ -102,7 +105,8 @@
         Runtime.getRuntime().halt(status);
     }
 
-    /** As the file has it; one that can't be opened for a moment is tried again. Throws IllegalArgumentException. */
+    /** Reads the configuration, again if the file can't be opened for a moment. Throws IllegalArgumentException if it
+        is invalid. */
     private static Config config() {
         for (int tries = 1; true; tries++) {
             try {
@@ -117,12 +121,13 @@
         }
     }
 
-    /** The only way to hear a signal that is not the end of the program; javac warns of the package, whatever is asked. */
+    /** Handles SIGHUP. The JDK has no supported interface for that, and javac's warning about this one can't be turned
+        off. */
     private static void onHangUp(Runnable then) {
         sun.misc.Signal.handle(new sun.misc.Signal("HUP"), signal -> then.run());
     }
 
-    /** Takes from the configuration where discovery is; one that can't be read changes nothing. */
+    /** Reloads the address of discovery from the configuration; one that can't be read changes nothing. */
     private static Reloader reloader(Gateway gateway, EventLoop loop) {
         return new Reloader(() -> Config.discovery(System.getenv()), discovery -> {
             gateway.tally().add(Tally.Count.RELOADS_OK);
@@ -133,8 +138,8 @@
         });
     }
 
-    /** Has the loop do it. Where the system fails to wake the loop up, the task is in its queue all the same, and is done as
-        soon as the loop turns by itself. */
+    /** Runs a task on the event loop. If the system fails to wake the loop up, the task is in the loop's queue all the
+        same and runs at its next turn. */
     private static void handOver(EventLoop loop, Runnable task, Consumer<String> log) {
         try {
             loop.execute(task);
@@ -143,21 +148,23 @@
         }
     }
 
+    /** Creates an event loop with a thread of its own. */
     static EventLoop loop() {
         return new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
     }
 
-    /** The connections that clients may hold, and as many to hosts. */
+    /** The maximum of client connections, which is also that of connections to hosts. */
     static int connectionsMost(int sockets) {
         return Math.max(8, (Math.min(sockets, 1 << 16) - RESERVED_DESCRIPTORS) / 2);
     }
 
-    /** Of clients' connections an eighth is for answering those that come beyond the requests held. */
+    /** The maximum of open requests. An eighth of the client connections is left to refuse further requests on. */
     static int openMost(int connectionsMost) {
         return connectionsMost - connectionsMost / 8;
     }
 
-    /** The listening socket that the platform has passed on; throws IllegalArgumentException where there is none. */
+    /** The listening socket that the process inherited as descriptor 0; throws IllegalArgumentException if there is
+        none. */
     private static ServerSocketChannel passed() {
         try {
             if (System.inheritedChannel() instanceof ServerSocketChannel passed) {
@@ -169,8 +176,8 @@
         throw new IllegalArgumentException("descriptor 0 is no listening socket, though NODE_PASSED_SOCKET is set");
     }
 
-    /** Starts a gateway on the loop that nobody reaches yet; the clock runs in nanoseconds from any origin. Throws
-        IllegalArgumentException for settings it can't run with. */
+    /** Creates a gateway and its server, which does not listen yet, on the loop. {@code nanoTime} counts from an
+        arbitrary origin. Throws IllegalArgumentException for invalid settings. */
     static ClientSide prepare(Config config, EventLoop loop, LongSupplier nanoTime, Life life, Tally tally,
             Consumer<String> out) {
         int most = connectionsMost(config.sockets());
@@ -183,12 +190,13 @@
         }, loop).join();
     }
 
-    /** Waits for what discovery has told before this process began, but no longer: it may be away. */
+    /** Waits for the first list from discovery, but no longer than the timeout, since discovery may be down. */
     static void awaitFirstList(Gateway gateway, long millis) {
         gateway.heard().completeOnTimeout(null, millis, TimeUnit.MILLISECONDS).join();
     }
 
-    /** Lets clients come, on the passed socket where there is one; throws IllegalArgumentException where that can't be. */
+    /** Starts to accept clients, on the inherited socket if there is one. Throws IllegalArgumentException if that
+        fails. */
     static void listen(ClientSide clients, Config config, ServerSocketChannel passed, EventLoop loop, Life life,
             Consumer<String> out) {
         ChannelFuture listening = begin(clients, config, passed);
@@ -217,7 +225,8 @@
         }
     }
 
-    /** The virtual machine would end with the signal's status: what was asked for has been done, so 0. */
+    /** Shuts down gracefully and exits with status 0: by itself, the virtual machine would exit with the signal's
+        status. */
     private static void stop(EventLoop loop, ClientSide clients, LogWriter log) {
         log.accept("stopping");
         CountDownLatch answered = new CountDownLatch(1);
--- a/src/main/java/mastdrift/net/MonitoredReads.java
+++ b/src/main/java/mastdrift/net/MonitoredReads.java
@@ -3,13 +3,13 @@
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
 
-/** Tells the loop's monitor how long what has been read takes: decoding it and all that follows at once. */
+/** Reports to the event loop's monitor how long each read takes to process: to decode it and all that this triggers. */
 final class MonitoredReads extends ChannelInboundHandlerAdapter {
 
     private final LoopMonitor monitor;
     private final LoopMonitor.Task task;
 
-    /** Reads count as that task. */
+    /** Reads are reported as {@code task}. */
     MonitoredReads(LoopMonitor monitor, LoopMonitor.Task task) {
         this.monitor = monitor;
         this.task = task;
--- a/src/main/java/mastdrift/net/Periodic.java
+++ b/src/main/java/mastdrift/net/Periodic.java
@@ -4,13 +4,14 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 
-/** Tasks that come round for as long as the loop runs. The loop itself drops one for good after its first fault, such as
-    memory that ran out for a moment: here a fault is told, and the next turn comes. */
+/** Runs tasks periodically on an event loop. The loop's own periodic tasks end at their first exception, such as a
+    passing lack of memory: here the exception is reported and the task goes on. */
 final class Periodic {
 
     private Periodic() { }
 
-    /** The first turn comes after a whole delay, in microseconds; so does each next, from the end of the one before. */
+    /** Runs the task after the delay, and again after a delay from the end of each run. {@code onError} receives a
+        message for each exception. */
     static void every(EventLoop loop, long delay, Runnable task, Consumer<String> faults) {
         loop.scheduleWithFixedDelay(() -> {
             try {
--- a/src/main/java/mastdrift/net/ReadAhead.java
+++ b/src/main/java/mastdrift/net/ReadAhead.java
@@ -12,30 +12,31 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.LongSupplier;
 
-/** Reads a client's connection, and sees to it that a departure is heard before anything is done for who has gone: it lies
-    behind what the client sent. What a turn of the loop reads is passed on behind the turn's events, so that an end that the
-    turn has read too comes first; {@link #sizes} has the turn read up to that end. While its reader pauses, reading goes on
-    for as long as a departure matters, and what comes is held here, in bounded memory. First in a pipeline; used on its
-    loop's thread alone. */
+/** Reads ahead on a client's connection, so that a disconnect, which arrives after the client's requests, is detected
+    before work is done for a client that has gone. Input that a turn of the event loop reads is delivered after the
+    turn's events, so that a disconnect that was read in the same turn comes first; {@link #receiveBufferAllocator}
+    makes the turn read that far. While the receiver pauses, reading goes on for as long as a disconnect is relevant,
+    and the input is buffered here in bounded memory. The first handler of a pipeline; used on its loop's thread alone.
+    */
 final class ReadAhead extends ChannelInboundHandlerAdapter {
 
-    // Passed on before more is read.
+    // Once this much has been read, it is delivered before more is read.
     private static final int TURN_BYTES_MOST = 32 << 10;
-    // Of one connection, where the pieces are small: a client that never stops sending must not keep the loop.
+    // Reads of one connection in a turn: a client that keeps sending small pieces must not occupy the loop.
     private static final int TURN_READS = 16;
     private static final long NEXT_TURN_MILLIS = 1;
-    // By then the selector has heard that nothing is wanted.
+    // By this time the selector has processed that the socket is not to be watched.
     private static final long REARM_MILLIS = 1;
-    // Of one connection whose reader pauses.
+    // Limit for one connection whose receiver pauses.
     private static final int AHEAD_BYTES_MOST = 1 << 20;
 
-    /** What the connections of one gateway share. */
+    /** The memory that all connections of one gateway may use together. */
     static final class Group {
 
         private final int most;
-        private int held;  // by all, in bytes of memory
+        private int held;  // capacity of the buffers of all connections
 
-        /** They hold at most so many bytes while their readers pause. */
+        /** While their receivers pause, connections buffer about {@code maxBytes} together. */
         Group(int most) {
             this.most = most;
         }
@@ -50,42 +51,44 @@
     private final LongSupplier clock;
     private final Queue<ByteBuf> held = new ArrayDeque<>();
     private ChannelHandlerContext context;
-    private int size;  // of what is held, in memory
+    private int size;  // capacity of the buffers
     private boolean paused;
     private boolean dropping;
     private boolean due;
     private boolean rearming;
-    private boolean watched;  // the selector has told of bytes since it was last asked to
+    private boolean watched;  // the selector has reported input since reading last began
     private int reads;  // in this turn of the loop
-    private long readAt;  // the last time that there was something
+    private long readAt;  // the last time that input arrived
 
-    /** Sizes of reads on such a connection, for a channel's options: a turn of the loop reads on until there is nothing more,
-        by which it meets an end that lies behind what has come. The loop may have been late, so that both are there. */
+    /** The allocator for the channels of such connections: a turn of the loop reads until there is no more input, and
+        so finds a disconnect that follows it. Both may have arrived if the loop was late. */
     static RecvByteBufAllocator sizes() {
         AdaptiveRecvByteBufAllocator sizes = ClientSide.readSizes();
         sizes.respectMaybeMoreData(false).maxMessagesPerRead(TURN_READS);
         return sizes;
     }
 
-    /** {@code departureMatters} is asked while the reader pauses. The clock runs in microseconds from any origin. */
+    /** {@code disconnectRelevant} is queried while the receiver pauses. The clock counts microseconds from an arbitrary
+        origin. */
     ReadAhead(Group group, BooleanSupplier departureMatters, LongSupplier clock) {
         this.group = group;
         this.departureMatters = departureMatters;
         this.clock = clock;
     }
 
-    /** Whether something has been read that the reader has not been given. */
+    /** Whether input has been read that was not delivered yet. */
     boolean holds() {
         return !held.isEmpty();
     }
 
+    /** Pauses or continues delivery. */
     void pause(boolean pauses) {
         paused = pauses;
         passOnSoon();
         pace();
     }
 
-    /** From now on what comes is read and dropped. */
+    /** From now on, input is read and discarded. */
     void drop() {
         dropping = true;
         release();
@@ -117,7 +120,7 @@
         pace();
     }
 
-    /** What may be held for long takes no more memory than it needs. */
+    /** Copies input that leaves most of its buffer unused, since it may be held for long. */
     private ByteBuf compact(ByteBuf bytes) {
         if (2 * bytes.readableBytes() >= bytes.capacity()) {
             return bytes;
@@ -132,8 +135,8 @@
         boolean mayBeMore = reads >= TURN_READS;
         reads = 0;
         if (mayBeMore && !paused && !due && size < TURN_BYTES_MOST) {
-            // Small pieces: the next turn reads on, and what it meets belongs to this. Where there is nothing more, no turn
-            // tells so.
+            // The read limit was reached by small pieces: the next turn continues, and its input is delivered with
+            // this. A timer is needed since no event follows if there is no more input.
             from.channel().eventLoop().schedule(this::passOnSoon, NEXT_TURN_MILLIS, TimeUnit.MILLISECONDS);
         } else {
             passOnSoon();
@@ -151,8 +154,8 @@
         group.held += bytes;
     }
 
-    /** Behind the events of this turn of the loop, among them the end of the connection; and never in the midst of what
-        the reader does. */
+    /** Delivers the input after the events of this turn of the loop, which may include a disconnect, and never while
+        the receiver is at work. */
     private void passOnSoon() {
         if (!due && !paused && !held.isEmpty()) {
             due = true;
@@ -164,7 +167,7 @@
         due = false;
         lookAgain();
         if (!context.channel().isActive()) {
-            release();  // it has ended, of which the reader is told next
+            release();  // the client has disconnected, which the receiver is told next
         }
         boolean passed = false;
         while (!paused && !held.isEmpty()) {
@@ -179,7 +182,7 @@
         }
     }
 
-    /** The loop may have been held up since these bytes were read, and their client may have left meanwhile. */
+    /** Reads again if the loop was delayed since the input was read: the client may have disconnected meanwhile. */
     private void lookAgain() {
         boolean longAgo = !held.isEmpty() && clock.getAsLong() - readAt > Gateway.LOOK_AFTER_MICROS;
         if (longAgo && !paused && context.channel() instanceof TcpChannel connection) {
@@ -187,7 +190,8 @@
         }
     }
 
-    /** Also where others have made room in what all may hold. */
+    /** Starts or stops reading, by the memory that is left. Also to be called when other connections may have freed
+        some. */
     void pace() {
         boolean room = !paused ? size < TURN_BYTES_MOST
                 : size < AHEAD_BYTES_MOST && group.held < group.most && departureMatters.getAsBoolean();
@@ -198,9 +202,9 @@
         }
     }
 
-    /** To be called now and then: reads where the selector has not told of anything since it was asked to, and has it watch
-        the connection anew where there is something. The system may have had no memory to watch it, of which the JDK tells
-        nobody. */
+    /** To be called periodically: reads if the selector has reported nothing since reading began, and makes it watch
+        the connection again if there was input. The system may have lacked the memory to watch it, which the JDK does
+        not report. */
     void readUnwatched() {
         if (watched || rearming || holds() || !(context.channel() instanceof TcpChannel connection)) {
             return;
--- a/src/main/java/mastdrift/net/Relay.java
+++ b/src/main/java/mastdrift/net/Relay.java
@@ -8,11 +8,12 @@
 import java.util.Queue;
 import java.util.function.Consumer;
 
-/** The rest of a body on its way from the connection that reads it to the one that writes it, in bounded memory: the
-    reader pauses while it is full, the writer while its channel takes nothing. Used on one loop's thread. */
+/** Passes the rest of a body from the connection that reads it to the one that writes it, in bounded memory: reading
+    pauses while the relay is full, and writing while the target channel is not writable. Used on one event loop's
+    thread. */
 final class Relay {
 
-    // What comes in one read may go beyond it.
+    // A single read may exceed it.
     private static final int HELD_BYTES_MOST = 32 << 10;
 
     private final Queue<ByteBuf> pieces = new ArrayDeque<>();
@@ -25,14 +26,14 @@
     private Channel to;
     private Consumer<Boolean> done;
 
-    // ---- the reader's side
+    // ---- the reading side
 
-    /** {@code then} runs when it has become full, or is no longer. */
+    /** {@code listener} runs when the relay becomes full and when it is no longer full. */
     void onPace(Runnable then) {
         pace = then;
     }
 
-    /** Takes the piece over. */
+    /** Takes ownership of the buffer. */
     void add(ByteBuf piece) {
         if (abandoned || over()) {
             piece.release();
@@ -46,13 +47,13 @@
         }
     }
 
-    /** All has been added. */
+    /** The whole body has been added. */
     void end() {
         whole = !broken;
         goOn();
     }
 
-    /** What is missing won't come; what nobody has begun to write by then is of no use. */
+    /** The rest of the body can't be read. If no writer has been set yet, what is buffered is discarded. */
     void fail() {
         broken = !whole;
         if (to == null && broken) {
@@ -69,27 +70,27 @@
         return whole;
     }
 
-    /** Nothing more comes. */
+    /** Whether nothing more will be added. */
     boolean over() {
         return whole || broken;
     }
 
-    // ---- the writer's side
+    // ---- the writing side
 
-    /** Writes what there is and what comes; {@code then} hears once, whether all has been written. */
+    /** Writes what is buffered and what is added later; {@code listener} is told once whether all has been written. */
     void writeTo(Channel channel, Consumer<Boolean> then) {
         to = channel;
         done = then;
         goOn();
     }
 
-    /** Whether there is something that the writer's channel has not taken. */
+    /** Whether the target channel has not taken all that was added. */
     boolean waits() {
         return held > 0 || to != null && !to.isWritable();
     }
 
-    /** The writer's channel takes more. A write that fills the channel comes back here in its midst, with a part of a
-        chunk out: nothing may be written then. */
+    /** Writes as much as the target channel takes. A write that fills the channel calls this again while a chunk is
+        half written: the nested call must write nothing. */
     void goOn() {
         if (writing) {
             return;
@@ -102,7 +103,7 @@
                 held -= piece.readableBytes();
                 channel.write(new DefaultHttpContent(piece));
             }
-            channel.flush();  // after which it may take more, or be closed and this abandoned
+            channel.flush();  // may make the channel writable again, or close it and abandon this relay
         }
         writing = false;
         if (before && !full()) {
@@ -120,7 +121,7 @@
         }
     }
 
-    /** Nobody wants it any more: what comes is dropped, and {@code then} of the writer hears nothing more. */
+    /** Discards what is buffered and what is added later; the writer's listener is not called any more. */
     void abandon() {
         abandoned = true;
         to = null;
--- a/src/main/java/mastdrift/net/TcpChannel.java
+++ b/src/main/java/mastdrift/net/TcpChannel.java
@@ -11,32 +11,33 @@
 import java.util.Locale;
 import java.util.concurrent.TimeUnit;
 
-/** A TCP connection that outlasts failures of system calls which say nothing of the connection itself: a read that a signal
+/** A TCP connection that survives system call failures which do not concern the connection itself: a read that a signal
     interrupted, and a write for which the system had no memory at that moment. */
 final class TcpChannel extends NioSocketChannel {
 
-    /** Between two tries of a write that met a shortage. */
+    /** Delay before a write is repeated that failed for lack of memory. */
     static final long WRITE_RETRY_MILLIS = 2;
-    // The JDK tells of an interrupted read by a code of its own below that of the stream's end, which the library would take
-    // for the end.
+    // The JDK returns a code below this one for an interrupted read, which Netty would take for the end of the stream.
     private static final int END_OF_STREAM = -1;
     private static final int NOTHING_READ = 0;
-    // The JDK hands on ENOBUFS and ENOMEM by the system's text alone.
+    // The JDK reports ENOBUFS and ENOMEM by the system's message alone.
     private static final List<String> SHORTAGES = List.of("no buffer space available", "cannot allocate memory");
-    // A new connection is set up by some calls that may fail though it is sound; whoever is dropped here loses its request.
+    // System calls that set up an accepted connection may fail though the connection is sound; closing it would lose
+    // its client's request.
     private static final int ADOPT_TRIES = 100;
 
     private long mayHaveWaited;
     private boolean readAhead;
 
-    /** One that is to be connected. */
+    /** A channel that is not connected yet. */
     TcpChannel() { }
 
     private TcpChannel(Channel parent, SocketChannel accepted) {
         super(parent, accepted);
     }
 
-    /** Takes over a connection that the system has accepted; throws ChannelException, and closes it, where that fails. */
+    /** Creates the channel of an accepted connection; if that fails, closes the connection and throws ChannelException.
+        */
     static TcpChannel accepted(Channel parent, SocketChannel connection) throws IOException {
         for (int tries = 1; true; tries++) {
             try {
@@ -50,17 +51,18 @@
         }
     }
 
-    /** How long it may have lain in the system's queue while nothing was accepted, in microseconds. */
+    /** Sets the longest time that the connection may have waited in the accept queue while accepting was paused. */
     void mayHaveWaited(long span) {
         mayHaveWaited = span;
     }
 
+    /** The longest time, in microseconds, that the connection may have waited in the accept queue. */
     long mayHaveWaited() {
         return mayHaveWaited;
     }
 
-    /** Reads what there is by now, the end of the connection among it, ahead of the loop's next turn; on the loop. Unless
-        reading has paused. */
+    /** Reads what has arrived, including the end of the connection, without waiting for the event loop's next turn.
+        Does nothing while reading is paused. Must be called on the loop's thread. */
     void readNow() {
         if (isActive() && config().isAutoRead()) {
             readAhead = true;
@@ -72,7 +74,7 @@
         }
     }
 
-    /** Whether what is being read was not told by the selector: it is {@link #readNow} that reads. */
+    /** Whether the current read comes from {@link #readNow} rather than from the selector. */
     boolean readsAhead() {
         return readAhead;
     }
@@ -83,7 +85,7 @@
         return read < END_OF_STREAM ? NOTHING_READ : read;
     }
 
-    /** What a failed write leaves in the buffer is written a moment later. */
+    /** Repeats a write that failed for lack of memory a moment later. */
     @Override
     protected void doWrite(ChannelOutboundBuffer buffer) throws Exception {
         try {
@@ -97,12 +99,12 @@
         }
     }
 
-    /** Whether the system lacked memory or buffers for a moment, which is no fault of the connection. */
+    /** Whether the system lacked memory or buffers for a moment, which does not concern the connection itself. */
     static boolean isShortage(IOException failure) {
         String text = String.valueOf(failure.getMessage()).toLowerCase(Locale.ROOT);
         return SHORTAGES.stream().anyMatch(text::contains);
     }
 
-    /** Told to the pipeline each time that a write is put off. */
+    /** The user event that a pipeline gets each time that a write is deferred. */
     enum WriteDeferred { INSTANCE }
 }
--- a/src/test/java/mastdrift/net/ArrivalTest.java
+++ b/src/test/java/mastdrift/net/ArrivalTest.java
@@ -5,14 +5,15 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Time limits on requests that come in, on a clock of the test's own. */
+/** Time limits on reading requests, on the test's own clock. */
 class ArrivalTest {
 
     private static final long CAME = 7_000_000;
     private static final long SECOND = 1_000_000;
     private final Arrival arrival = new Arrival();
 
-    /** Reads a body in even pieces of a tenth of a second, as long as it is borne; gives the moment at which it isn't. */
+    /** Reads a body in equal pieces every tenth of a second until the timer expires; returns that time, or
+        Long.MAX_VALUE. */
     private long readBody(long from, long bytes, long bytesPerSecond) {
         long now = from;
         for (long got = 0; got < bytes; got += bytesPerSecond / 10) {
@@ -25,7 +26,8 @@
         return Long.MAX_VALUE;
     }
 
-    /** Guards against a bound on the whole: 2 s for the head, then 20 MB at 64 kB a second. */
+    /** Guards against a fixed limit on the whole request: 2 s for the head, then 20 MB at 64 kB a second are allowed.
+        */
     @Test
     void aSlowButProperClientIsServed() {
         arrival.begin(CAME);
@@ -45,7 +47,7 @@
         assertTrue(burst.overdue(CAME + 2_700_000, CAME, 64_000));
     }
 
-    /** The first request's time is its connection's: a byte just before the end buys none. */
+    /** The first request on a connection is timed from connecting: a byte just before the limit must not extend it. */
     @Test
     void aFirstByteThatComesLateMovesNoBound() {
         arrival.begin(CAME + 2_500_000);
@@ -54,7 +56,7 @@
         assertFalse(arrival.overdue(CAME + 2_700_000, 0, 0));
     }
 
-    /** Guards against a client that is closed for what its host takes slowly. */
+    /** Guards against closing a client whose body waits for a slow host. */
     @Test
     void timeInWhichNothingIsReadIsNotTheClients() {
         arrival.begin(CAME);
--- a/src/test/java/mastdrift/net/ConnectionLimitTest.java
+++ b/src/test/java/mastdrift/net/ConnectionLimitTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Who makes room at the bound on clients' connections. */
+/** Which connection is closed at the limit on client connections. */
 class ConnectionLimitTest {
 
     private static final Duration ENOUGH = Duration.ofSeconds(Loopback.WAIT_SECONDS);
@@ -57,7 +57,7 @@
         @Override
         public void close() {
             closed = true;
-            loop.execute(() -> limit.gone(this));  // behind the turn, as channels tell
+            loop.execute(() -> limit.gone(this));  // after this turn of the loop, as channels report their close
         }
     }
 
@@ -78,7 +78,7 @@
         });
     }
 
-    /** Guards against a loop that never ends over a connection that has ended by itself and is not gone yet. */
+    /** Guards against an endless loop over a connection that has closed by itself and has not been removed yet. */
     @Test
     void whoHasEndedByItselfIsNotMetAgain() throws Exception {
         Place next = loop.submit(() -> List.of(new Place(false), new Place(true), new Place(true))).get().get(1);
@@ -98,10 +98,10 @@
         until(() -> third.ended);
         assertFalse(unread.ended || sending.ended);
         came(true);
-        assertTrue(third.closed);  // who has been ended leaves to the next
+        assertTrue(third.closed);  // a connection in a lingering close is replaced by the next new one
     }
 
-    /** Guards against a newcomer that is ended before its client has had the time to write, though others rest. */
+    /** Guards against closing a new connection before its client has had the time to write, though others are idle. */
     @Test
     void whoHasAskedBeforeMakesRoomForTheNewcomer() throws Exception {
         List<Place> rested = loop.submit(() -> List.of(new Place(true), new Place(true))).get();
@@ -114,8 +114,8 @@
         assertFalse(newcomer.ended || rested.get(1).ended);
     }
 
-    /** Guards against descriptors that run out under a flood: several who come in one turn each take the place of another of
-        those that linger. */
+    /** Guards against running out of descriptors under a flood of connections: several that come in one turn of the
+        loop each replace another lingering one. */
     @Test
     void newcomersOfOneTurnCloseAsManyWhoLinger() throws Exception {
         List<Place> first = loop.submit(() -> List.of(new Place(true), new Place(true), new Place(true), new Place(true))).get();
--- a/src/test/java/mastdrift/net/EndingsTest.java
+++ b/src/test/java/mastdrift/net/EndingsTest.java
@@ -40,7 +40,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What is owed in the instant in which a process, a connection, an attempt, a list or a client ends. */
+/** Requests that are in progress when a process, a connection, an attempt, a list or a client ends. */
 class EndingsTest {
 
     @TempDir
@@ -57,7 +57,7 @@
     private static void until(BooleanSupplier holds) throws InterruptedException {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(Loopback.WAIT_SECONDS);
         while (!holds.getAsBoolean()) {
-            assertTrue(System.nanoTime() < end, "never came about");
+            assertTrue(System.nanoTime() < end, "not within the timeout");
             Thread.sleep(5);
         }
     }
@@ -66,7 +66,7 @@
         until(() -> node.log.toString(StandardCharsets.UTF_8).contains(text));
     }
 
-    /** Every exchange has ended once, and nothing is held for it. */
+    /** Waits until all exchanges have ended and no resources are held for them. */
     private static void assertNothingIsOwed(Node node) throws Exception {
         until(() -> {
             try {
@@ -77,8 +77,8 @@
         });
     }
 
-    /** Guards against a second effect: the idempotency window is looked at when a further attempt is decided, and the
-        connection for it may come up after the window. */
+    /** Guards against a second execution: a retry is decided within the deduplication window, but its connection may be
+        established after the window. */
     @Test
     void aFurtherAttemptIsNotWrittenOnceItsWindowIsOver() throws Exception {
         String settings = SETTINGS.replace("\"dedup_window\":60000000", "\"dedup_window\":5000000");
@@ -89,7 +89,7 @@
             Message taken = await(first.received);
             tell(await(discovery.received).socket(), list(2, false, up("s2", late.address())));
             untilLogged(node, "list 2");
-            taken.socket().close();  // it may have run
+            taken.socket().close();  // the request may have run
             until(() -> counted(node, Tally.Count.HOST_DIALS) == 2);
             node.jump(5_000);
             assertEquals(-1, late.open().getInputStream().read());
@@ -98,8 +98,8 @@
         }
     }
 
-    /** Guards against work for nobody: a request whose client has left while its first connection was coming up is not
-        written on it, whether or not the settings let attempts be called off. */
+    /** Guards against wasted work: a request whose client disconnects while the first connection to a host is being
+        established is not sent on it, whether or not the settings let attempts be cancelled. */
     @ParameterizedTest
     @CsvSource({"true, false", "true, true", "false, false", "false, true"})
     void whatAClientLeftBehindIsNotSentOn(boolean cancel, boolean reset) throws Exception {
@@ -115,13 +115,13 @@
             }
             client.close();
             until(() -> counted(node, Tally.Count.DEPARTED) == 1);
-            assertNothingIsOwed(node);  // the connection is not waited for either
+            assertNothingIsOwed(node);  // without waiting for the connection
             assertEquals(0, counted(node, Tally.Count.ATTEMPTS_WRITTEN));
         }
     }
 
-    /** The same while reading pauses, since more of a long body has come than is held before there is a connection for it;
-        and for what waits behind a request that is out. */
+    /** The same while reading is paused because more of a long body has arrived than is buffered before there is a
+        connection to a host. */
     @ParameterizedTest
     @CsvSource({"100000, true", "100000, false", "600000, true", "600000, false"})
     void whatAClientLeftBehindIsNotSentOnThoughReadingPauses(int length, boolean reset) throws Exception {
@@ -129,7 +129,7 @@
         try (Server discovery = discovery(); LateHost late = new LateHost();
                 Node node = node(discovery, settings, up("s1", late.address()))) {
             Socket client = node.connect();
-            write(client, post("start", 60_000, "x".repeat(length)).substring(0, length));  // its end is missing
+            write(client, post("start", 60_000, "x".repeat(length)).substring(0, length));  // without its end
             until(() -> counted(node, Tally.Count.HOST_DIALS) == 1);
             if (reset) {
                 client.setSoLinger(true, 0);
@@ -156,8 +156,8 @@
         }
     }
 
-    /** Guards against a further attempt for a client that has left while many of its requests wait behind the one that is
-        out, so that reading pauses. */
+    /** Guards against a disconnect that goes unnoticed because reading is paused: many pipelined requests wait behind
+        one that is at a host. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void whoLeavesBehindManyRequestsIsMissedWhileTheFirstIsOut(boolean reset) throws Exception {
@@ -181,7 +181,7 @@
         }
     }
 
-    /** Holds the gateway's loop still while something happens outside. */
+    /** What happens while the gateway's event loop is blocked. */
     private interface Outside {
         void happens() throws Exception;
     }
@@ -205,8 +205,8 @@
         }
     }
 
-    /** Guards against attempts for clients that have been gone for long when their requests are read: the program may be
-        late, with a request or several, and the departures behind them, in the sockets. */
+    /** Guards against attempts for clients that have disconnected before their requests are read: if the event loop is
+        late, both the requests and the disconnects wait in the sockets. */
     @ParameterizedTest
     @CsvSource({"1, true", "1, false", "3, true", "3, false"})
     void whoHaveGoneByTheTimeTheirRequestsAreReadAreNotSentOn(int most, boolean reset) throws Exception {
@@ -227,7 +227,7 @@
                     client.close();
                 }
             });
-            assertEquals(200, node.ask("GET /ready HTTP/1.1\r\n\r\n").status());  // all that lay there has been read
+            assertEquals(200, node.ask("GET /ready HTTP/1.1\r\n\r\n").status());  // all that waited in the sockets has been read
             assertNothingIsOwed(node);
             assertEquals(0, counted(node, Tally.Count.TAKEN));
             assertEquals(0, host.received.size());
@@ -241,8 +241,8 @@
         return new Node(environment);
     }
 
-    /** Guards against connections that the system has accepted, with requests written on them, and that are reset since
-        the listening socket closes before the program has come to them. */
+    /** Guards against resetting connections that wait in the accept queue, with requests on them, when the listening
+        socket is closed. */
     @Test
     void aStopTakesWhatTheSystemHasAccepted() throws Exception {
         CountDownLatch stopped = new CountDownLatch(1);
@@ -251,12 +251,12 @@
             List<Socket> clients = new ArrayList<>();
             node.loop.submit(() -> node.clients.stop(stopped::countDown)).sync();
             whileStill(node, () -> {
-                for (int i = 0; i < 40; i++) {  // more than are accepted in a turn
+                for (int i = 0; i < 40; i++) {  // more than are accepted in a turn of the loop
                     Socket client = node.connect();
                     write(client, read(20_000).replace("9b1f", "a" + i));
                     clients.add(client);
                 }
-                Thread.sleep(ClientSide.STOP_ACCEPTING_MILLIS);  // the close is due by now
+                Thread.sleep(ClientSide.STOP_ACCEPTING_MILLIS);  // the listening socket is due to be closed now
             });
             for (Socket client : clients) {
                 assertEquals("one", Loopback.read(client).text());
@@ -266,42 +266,42 @@
         }
     }
 
-    /** Guards against a newcomer that makes room for the next one before its request, which lies in its socket, has been
-        looked at. */
+    /** Guards against closing a new connection at the limit before its request, which waits in its socket, has been
+        read. */
     @Test
     void whoHasJustComeMakesNoRoomUnheard() throws Exception {
         try (Server discovery = discovery(); Server host = Loopback.host("one");
                 Node node = node(discovery, SETTINGS, up("s1", host.address()))) {
             List<Socket> clients = new ArrayList<>();
             whileStill(node, () -> {
-                for (int i = 0; i < 14; i++) {  // 64 descriptors leave 8 to clients
+                for (int i = 0; i < 14; i++) {  // 64 descriptors allow 8 client connections
                     Socket client = node.connect();
                     write(client, read(20_000).replace("9b1f", "a" + i));
                     clients.add(client);
                 }
             });
             for (Socket client : clients) {
-                assertNotNull(Loopback.read(client), "closed with no answer");  // of 8 places, 7 are for requests
+                assertNotNull(Loopback.read(client), "closed without a response");  // 7 of 8 connections may have open requests
             }
             assertNothingIsOwed(node);
         }
     }
 
-    /** Guards against clients that wait in the system's queue, their time running, while all places are taken: an eighth
-        of the places is beyond the requests that are held, so that whoever comes is answered, and nobody who waits for an
-        answer makes room. */
+    /** Guards against clients that wait in the accept queue, their time running, while all connections are in use: an
+        eighth of the connections is left beyond the open requests, so that further clients are refused and no
+        connection with an open request is closed. */
     @Test
     void atTheBoundWhoComesIsAnswered() throws Exception {
         try (Server discovery = discovery(); Server host = new Server(message -> { });
                 Node node = node(discovery, SETTINGS, up("s1", host.address()))) {
             List<Socket> busy = new ArrayList<>();
             List<Message> out = new ArrayList<>();
-            for (int i = 0; i < 7; i++) {  // of 8 places, 7 are for requests
+            for (int i = 0; i < 7; i++) {  // 7 of 8 connections may have open requests
                 busy.add(node.connect());
                 write(busy.get(i), read(20_000).replace("9b1f", "a" + i));
                 out.add(await(host.received));
             }
-            for (int i = 0; i < 30; i++) {  // none of whom leaves
+            for (int i = 0; i < 30; i++) {  // none of which disconnects
                 Socket client = node.connect();
                 write(client, read(20_000).replace("9b1f", "b" + i));
                 assertEquals(503, Loopback.read(client).status());
@@ -316,7 +316,7 @@
         }
     }
 
-    /** Guards against a reset over what a client that is still sending sends, at the end of a stop. */
+    /** Guards against resetting a client that is still sending at the end of a shutdown. */
     @Test
     void aStopEndsWhoIsStillSendingInOrder() throws Exception {
         CountDownLatch stopped = new CountDownLatch(1);
@@ -327,7 +327,7 @@
             write(client, post("start", 60_000, "x".repeat(1_000)).substring(0, 600));
             node.loop.execute(() -> node.clients.stop(stopped::countDown));
             assertEquals(-1, client.getInputStream().read());
-            for (int i = 0; i < 20; i++) {  // a reset would come back, and be told by the next write
+            for (int i = 0; i < 20; i++) {  // after a reset, the next write would fail
                 write(client, "x");
                 Thread.sleep(5);
             }
@@ -337,7 +337,7 @@
         }
     }
 
-    /** Guards against a client that is pushed out in the midst of its request while others rest. */
+    /** Guards against closing a connection in the midst of its request while others are idle. */
     @Test
     void whoIsSendingARequestDoesNotMakeRoomWhileOthersRest() throws Exception {
         try (Server discovery = discovery(); Server host = Loopback.host("one");
@@ -348,7 +348,7 @@
             Socket resting = node.connect();
             write(resting, read(20_000));
             assertEquals("one", Loopback.read(resting).text());
-            for (int i = 0; i < 6; i++) {  // 64 descriptors leave 8 to clients
+            for (int i = 0; i < 6; i++) {  // 64 descriptors allow 8 client connections
                 Socket other = node.connect();
                 write(other, read(20_000));
                 assertEquals("one", Loopback.read(other).text());
@@ -362,7 +362,7 @@
         }
     }
 
-    /** Reads up to a text that the peer is known to send. */
+    /** Reads up to a text that the peer will send. */
     private static void readTo(Socket socket, String text) throws IOException {
         StringBuilder got = new StringBuilder();
         while (got.indexOf(text) < 0) {
@@ -372,14 +372,14 @@
         }
     }
 
-    /** Whether nothing is owed any more so much later; measured where what ends it is scheduled, so that a slow machine
-        can't turn the order round. */
+    /** Whether the gateway is idle after that time, measured by a timer of the same event loop that has the deadlines,
+        so that a slow machine does not change the order. */
     private static boolean owesNothingAfter(Node node, int millis) throws Exception {
         return node.loop.schedule(() -> node.clients.gateway().owesNothing(), millis, TimeUnit.MILLISECONDS).get();
     }
 
-    /** Guards against an answer that ends long after its time, or never: its first pieces were passed on since its length
-        is not told, and then the host hangs. The client can tell that it is no whole. */
+    /** Guards against a response that ends long after its deadline, or never: it is streamed since its length is
+        unknown, and then the host hangs. The client must see that it is incomplete. */
     @Test
     void anAnswerThatHangsOnItsWayEndsWithItsDeadline() throws Exception {
         CountDownLatch seen = new CountDownLatch(1);
@@ -402,7 +402,8 @@
         }
     }
 
-    /** Guards against an end that cuts off what the host still gives: of a long answer the first bytes are timed. */
+    /** Guards against cutting off a long response that the host is still sending: only its first bytes have a deadline.
+        */
     @Test
     void aLongAnswerMayGoOnBehindItsDeadline() throws Exception {
         CountDownLatch seen = new CountDownLatch(1);
@@ -423,8 +424,8 @@
         }
     }
 
-    /** Guards against an answer that comes too late since the client's last byte was there long before it was read: reading
-        pauses while a long body has no connection yet, and its client's time runs. */
+    /** Guards against a response after the deadline: reading is paused while a long body waits for a connection, so the
+        last byte is read long after it arrived, and the client's time has been running. */
     @Test
     void aLongBodyThatWaitedForAConnectionHasNoMoreTimeForThat() throws Exception {
         try (Server discovery = discovery(); LateHost late = new LateHost();
@@ -439,7 +440,8 @@
         }
     }
 
-    /** Guards against a part that passes for the whole, at a client of HTTP/1.0, to which only the end tells the length. */
+    /** Guards against a partial response that passes for a complete one at an HTTP/1.0 client, which takes the end of
+        the connection for the end of the body. */
     @Test
     void anAnswerThatBreaksIsResetWhereItsEndWouldBeItsLength() throws Exception {
         CountDownLatch seen = new CountDownLatch(1);
@@ -458,8 +460,8 @@
         }
     }
 
-    /** Guards against a close over unread bytes, which resets the connection and may destroy the answer before it: the
-        client goes on sending behind the request that is the last on its connection. */
+    /** Guards against a close with unread input, which resets the connection and may destroy the response: the client
+        goes on sending after the last request on its connection. */
     @Test
     void aLastAnswerIsFollowedByAnOrderlyEndThoughTheClientStillSends() throws Exception {
         try (Server discovery = discovery(); Server host = new Server(message -> { });
@@ -467,13 +469,13 @@
             Socket client = node.connect();
             write(client, read(20_000).replace("Host: s", "Host: s\r\nConnection: close"));
             Message taken = await(host.received);
-            for (int i = 0; i < 200; i++) {  // more than are read ahead
+            for (int i = 0; i < 200; i++) {  // more than is read ahead
                 write(client, read(20_000).replace("9b1f", "more" + i));
             }
             write(taken.socket(), answer("200 OK", "last"));
             assertEquals("last", Loopback.read(client).text());
             assertEquals(-1, client.getInputStream().read());
-            for (int i = 0; i < 20; i++) {  // a reset would come back, and be told by the next write
+            for (int i = 0; i < 20; i++) {  // after a reset, the next write would fail
                 write(client, "more");
                 Thread.sleep(5);
             }
@@ -482,7 +484,7 @@
         }
     }
 
-    /** Guards against a request that is read behind the shutdown and sent on: its client has heard that it ended. */
+    /** Guards against handling a request that is read after the output was shut down: its client has seen the end. */
     @Test
     void whatComesOnAConnectionThatWasShutIsNotTaken() throws Exception {
         CountDownLatch stopped = new CountDownLatch(1);
@@ -501,7 +503,7 @@
         }
     }
 
-    /** Guards against requests that were read and are dropped with the connection whose last answer goes out. */
+    /** Guards against dropping pipelined requests that were read before a shutdown closes their connection. */
     @Test
     void aStopAnswersWhatWasReadBehindTheRequestThatIsOut() throws Exception {
         CountDownLatch stopped = new CountDownLatch(1);
@@ -514,7 +516,7 @@
             write(resting, "GET /ready HTTP/1.1\r\n\r\n");
             assertEquals(200, Loopback.read(resting).status());
             node.loop.execute(() -> node.clients.stop(stopped::countDown));
-            assertEquals(-1, resting.getInputStream().read());  // what comes now is the last
+            assertEquals(-1, resting.getInputStream().read());  // from now on, responses close their connections
             write(first.socket(), answer("200 OK", "first"));
             assertEquals("first", Loopback.read(client).text());
             write(await(host.received).socket(), answer("200 OK", "second"));
@@ -525,8 +527,8 @@
         }
     }
 
-    /** Guards against a request that is open at the stop and that the process's own end, or the kill, finds unanswered:
-        it was bound by its own time alone, which may be longer than there is left. */
+    /** Guards against a request that is still open when the process ends or is killed: its own deadline may be later
+        than that. */
     @Test
     void aStopAnswersWhatIsOpenBeforeTheKill() throws Exception {
         CountDownLatch stopped = new CountDownLatch(1);
@@ -535,7 +537,7 @@
             Socket client = node.connect();
             write(client, read(60_000));
             await(host.received);
-            node.loop.submit(() -> node.clients.stop(stopped::countDown)).sync();  // from then on
+            node.loop.submit(() -> node.clients.stop(stopped::countDown)).sync();  // the time starts once the shutdown has
             assertTrue(owesNothingAfter(node, (int) (ClientSide.stopAnswered(60_000_000) / 1000)));
             assertEquals(504, Loopback.read(client).status());
             assertEquals(-1, client.getInputStream().read());
--- a/src/test/java/mastdrift/net/GatewayTest.java
+++ b/src/test/java/mastdrift/net/GatewayTest.java
@@ -34,7 +34,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The driver, with a module that a test puts in the place of the real one. */
+/** The gateway with a balancer that the test supplies. */
 class GatewayTest {
 
     @TempDir
@@ -81,7 +81,7 @@
         loop.parent().shutdownGracefully(0, 0, TimeUnit.SECONDS).syncUninterruptibly();
     }
 
-    /** Takes one request with a module that acts so on it. */
+    /** Submits one request, on which the balancer acts as given. */
     private void take(long left, BiConsumer<Balancer.Actions, Long> onRequest) throws Exception {
         Balancer module = (Balancer) Proxy.newProxyInstance(getClass().getClassLoader(),
                 new Class<?>[] {Balancer.class}, (proxy, method, arguments) -> {
@@ -102,8 +102,8 @@
         }
     }
 
-    /** Guards against a gateway that hangs for good after a fault, also where memory ran out, and against a module that
-        goes on counting what has failed. */
+    /** Guards against a gateway that hangs after an exception or a lack of memory in an event, and against a balancer
+        that still counts the request, which has failed. */
     @ParameterizedTest
     @ValueSource(strings = {"module", "memory", "message"})
     void aFaultIsLoggedAndFailsItsRequest(String where) throws Exception {
@@ -120,7 +120,7 @@
         assertTrue(log.toString(StandardCharsets.UTF_8).contains("fault"));
     }
 
-    /** Guards against a request that nobody answers: the backstop does, and the module hears that it is over. */
+    /** Guards against a request without a response: the gateway fails it at its deadline and tells the balancer. */
     @Test
     void aRequestThatTheModuleForgetsIsFailedInTime() throws Exception {
         take(50_000, (asked, id) -> { });
@@ -141,7 +141,8 @@
         assertNull(answers.peek());
     }
 
-    /** Guards against an event inside an event: an outcome that is there at once waits, and each send has one. */
+    /** Guards against nested events: an outcome that is known at once is reported after the current event, one per
+        send. */
     @Test
     void outcomesWaitForTheEndOfTheEventThatCausedThem() throws Exception {
         take(60_000_000, (asked, id) -> {
@@ -151,7 +152,8 @@
         assertEquals(List.of("start", "hostListReceived", "requestReceived", "end of request", "attemptEnded", "attemptEnded"), awaitEvents(6));
     }
 
-    /** Guards against an attempt for who left while the loop was held up, or ahead of whose end a host's event was met. */
+    /** Guards against an attempt for a client that disconnected while the loop was delayed, or whose disconnect comes
+        after a host's event in the same turn of the loop. */
     @Test
     void nothingIsSentForWhoHasGoneSinceTheLastLook() throws Exception {
         present = false;
@@ -174,7 +176,7 @@
         return events;
     }
 
-    /** Guards against sweeps that one fault ends for good: nothing would be closed or told from then on. */
+    /** Guards against a sweep that ends at its first exception: no timeouts would be enforced from then on. */
     @Test
     void aFaultInAPeriodicTaskIsToldAndTheNextTurnComes() throws Exception {
         BlockingQueue<String> faults = new LinkedBlockingQueue<>();
@@ -187,7 +189,7 @@
         assertTrue(Loopback.await(faults).contains("on purpose"));
     }
 
-    /** Guards against a log that leaves an operator guessing where requests went. */
+    /** Guards against counts that are missing in the log, or are logged twice. */
     @Test
     void theTallyTellsWhatWasCountedOnce() {
         Tally tally = new Tally(List.of());
--- a/src/test/java/mastdrift/net/ListenerTest.java
+++ b/src/test/java/mastdrift/net/ListenerTest.java
@@ -17,6 +17,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
+/** The time that a connection may have waited in the accept queue. */
 class ListenerTest {
 
     private static final long PAUSE = 300_000;
@@ -66,7 +67,7 @@
         }
     }
 
-    /** Nobody came during the pause: who comes long behind it has not waited. */
+    /** No connection came during the pause: one that comes long after it has not waited. */
     @Test
     void aPauseWithNobodyIsForgotten() throws Exception {
         accept(false);
@@ -79,7 +80,7 @@
         }
     }
 
-    /** Timers of the loop that were set before, and come within some milliseconds, have run. */
+    /** Waits for timers of the loop that were set before and are due within some milliseconds. */
     private static void awaitTimersOf(EventLoop loop) throws Exception {
         loop.submit(() -> loop.schedule(() -> { }, 10, TimeUnit.MILLISECONDS)).sync().getNow().sync();
     }
--- a/src/test/java/mastdrift/net/LongBodyTest.java
+++ b/src/test/java/mastdrift/net/LongBodyTest.java
@@ -50,7 +50,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Bodies that are too long to be held: passed on in pieces, both ways, and what that forbids. */
+/** Bodies that are too long to be kept whole: they are streamed, in both directions, and can't be retried. */
 class LongBodyTest {
 
     private static final int LONG = 3_000_000;
@@ -140,7 +140,8 @@
         }
     }
 
-    /** Guards against a long answer that is held back: its first bytes count, and its length may not be told. */
+    /** Guards against a long response that is held back: its first bytes have a deadline, and its length may be
+        unknown. */
     @ParameterizedTest
     @ValueSource(strings = {"Content-Length: 70000", "Transfer-Encoding: chunked"})
     void anAnswerThatMayBeLongIsPassedOnBeforeItsEnd(String framing) throws Exception {
@@ -172,7 +173,7 @@
         }
     }
 
-    /** Guards against a whole form of HTTP/1.1 taken for spoilt: an answer that its connection's end ends, told so. */
+    /** Guards against rejecting a valid form of HTTP/1.1: a response that ends with its connection, and says so. */
     @ParameterizedTest
     @ValueSource(ints = {5, 200_000})
     void anAnswerMayLastToTheEndOfItsConnection(int length) throws Exception {
@@ -188,7 +189,8 @@
         }
     }
 
-    /** Guards against a part that passes for the whole where only the connection's end tells it: a reset is none. */
+    /** Guards against a partial response that passes for a complete one where only the connection's end marks the end:
+        a reset does not. */
     @Test
     void anAnswerToTheEndOfItsConnectionThatIsResetIsNoWhole() throws Exception {
         CountDownLatch begun = new CountDownLatch(1);
@@ -207,7 +209,7 @@
         }
     }
 
-    /** Guards against a part that passes for the whole. */
+    /** Guards against a partial response that passes for a complete one. */
     @Test
     void anAnswerThatBreaksOnItsWayEndsTheClientsConnection() throws Exception {
         try (Server discovery = discovery(); Server host = new Server(message -> {
@@ -221,7 +223,8 @@
         }
     }
 
-    /** Guards against a second effect: what is not kept can't be sent again, though its class would allow it. */
+    /** Guards against a retry with a part of the body: a streamed request is not kept, though its class allows retries.
+        */
     @Test
     void aLongRequestThatMayHaveRunIsNotSentAgain() throws Exception {
         AtomicInteger count = new AtomicInteger();
@@ -238,7 +241,7 @@
         }
     }
 
-    /** A host that can't be reached has taken nothing of the body yet. */
+    /** A host that can't be connected to has received nothing of the body yet. */
     @Test
     void aLongRequestGoesOnToAnotherHostWhereNoConnectionComesUp() throws Exception {
         Server closed = host("");
@@ -251,7 +254,7 @@
         }
     }
 
-    /** Guards against a body whose end is in doubt, and that runs. */
+    /** Guards against a malformed request that a host runs. */
     @Test
     void aLongRequestThatTurnsOutBadNeverRuns() throws Exception {
         try (Server discovery = discovery(); Server host = host("ran"); Node node = node(discovery, host)) {
@@ -278,7 +281,7 @@
         }
     }
 
-    /** Guards against an answer that gets lost where the client still sends: the rest is read, then the close comes. */
+    /** Guards against a response that gets lost while the client still sends: the rest is read before the close. */
     @Test
     void anAnswerAheadOfTheBodysEndArrives() throws Exception {
         try (Server discovery = discovery(); Node node = node(discovery)) {
@@ -306,7 +309,7 @@
         }
     }
 
-    /** Guards against a bound on the whole that slow but proper clients can't keep. */
+    /** Guards against a limit on the whole request that slow but permitted clients can't keep. */
     @Test
     void aBodyMayTakeItsTimeAsLongAsItComes() throws Exception {
         try (Server discovery = discovery(); Server host = host("ok"); Node node = node(discovery, host)) {
@@ -324,7 +327,8 @@
         return Unpooled.wrappedBuffer(new byte[length]);
     }
 
-    /** Guards against memory that grows with a body: a full relay says so, and goes on once its channel takes more. */
+    /** Guards against memory that grows with a body: a full relay reports it, and resumes once its channel is writable.
+        */
     @Test
     void aRelayAsksForAPauseWhileItsChannelTakesNothing() {
         EmbeddedChannel channel = new EmbeddedChannel();
@@ -352,7 +356,7 @@
         }
     }
 
-    /** Guards against an end inside the chunk before it, where that one's write fills the channel. */
+    /** Guards against a last chunk written in the midst of the chunk before it, whose write fills the channel. */
     @Test
     void aRelaysEndComesBehindTheChunkThatFillsItsChannel() {
         Relay relay = new Relay();
@@ -379,7 +383,8 @@
         assertTrue(written.toString().endsWith("\r\n\r\n5\r\npiece\r\n0\r\n\r\n"), written.toString());
     }
 
-    /** The same where its reader breaks off before a writer was found, as with a client that leaves while it waits. */
+    /** Guards against leaked buffers where reading fails before there is a target channel, as with a client that
+        disconnects while its request waits. */
     @Test
     void aRelayThatFailsBeforeAnyoneWritesDropsWhatItHolds() {
         Relay relay = new Relay();
@@ -392,7 +397,7 @@
         assertEquals(List.of(false), done);
     }
 
-    /** Guards against pieces that nobody releases. */
+    /** Guards against buffers that are never released. */
     @Test
     void anAbandonedRelayDropsWhatItHoldsAndWhatComes() {
         Relay relay = new Relay();
--- a/src/test/java/mastdrift/net/Loopback.java
+++ b/src/test/java/mastdrift/net/Loopback.java
@@ -25,14 +25,15 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** Both sides of a gateway on loopback sockets, by hand: a few plain sockets that a test reads and writes. */
+/** A gateway in the test's process, with its clients, hosts and discovery as plain loopback sockets that a test reads
+    and writes. */
 final class Loopback {
 
-    static final int WAIT_SECONDS = 30;  // a bound on what has to come, far beyond any real wait
+    static final int WAIT_SECONDS = 30;  // timeout for events that have to occur, far above any real delay
 
     private Loopback() { }
 
-    /** A message as it came: its first line and headers, and its body. */
+    /** An HTTP message as received: its start line and headers, and its body. */
     record Message(String head, byte[] body, Socket socket) {
 
         String line() {
@@ -53,7 +54,7 @@
         }
     }
 
-    /** The next message; null where the connection ends or breaks first. */
+    /** Reads the next message; null if the connection ends or fails first. */
     static Message read(Socket socket) {
         try {
             InputStream in = socket.getInputStream();
@@ -94,7 +95,7 @@
         StringBuilder line = new StringBuilder();
         for (int next = in.read(); next != '\n'; next = in.read()) {
             if (next < 0) {
-                throw new IOException("ended");
+                throw new IOException("the connection ended within a line");
             }
             line.append((char) next);
         }
@@ -113,17 +114,17 @@
     static <T> T await(BlockingQueue<T> queue) throws InterruptedException {
         T next = queue.poll(WAIT_SECONDS, TimeUnit.SECONDS);
         if (next == null) {
-            throw new AssertionError("nothing came");
+            throw new AssertionError("no element within the timeout");
         }
         return next;
     }
 
-    /** What a server does with a message. */
+    /** How a server reacts to a request. */
     interface Script {
         void handle(Message message) throws Exception;
     }
 
-    /** A server that keeps what it gets and acts by its script, one thread a connection. */
+    /** A server that records the requests it receives and calls its handler for each, with a thread per connection. */
     static final class Server implements AutoCloseable {
 
         final BlockingQueue<Message> received = new LinkedBlockingQueue<>();
@@ -147,7 +148,7 @@
 
         private void serve(Socket connection) throws Exception {
             for (Message next = read(connection); next != null; next = read(connection)) {
-                synchronized (connection) {  // what a test tells on hearing of a message comes behind the script's answer
+                synchronized (connection) {  // what a test sends once it sees a request follows the handler's response
                     received.add(next);
                     script.handle(next);
                 }
@@ -164,7 +165,7 @@
                 try {
                     body.run();
                 } catch (Exception e) {
-                    return;  // closed by the test's end, or by its script
+                    return;  // closed by the end of the test, or by its handler
                 }
             });
             thread.setDaemon(true);
@@ -180,7 +181,7 @@
         public void close() throws IOException {
             socket.close();
             try {
-                accepting.join();  // what it accepts last is in the list, and it takes nothing after this
+                accepting.join();  // the last connection is in the list, and no more are accepted
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
@@ -190,20 +191,20 @@
         }
     }
 
-    /** A host whose connections come up late: its queue is full until it is opened, and the system asks for a connection
-        that found no place anew after a second. */
+    /** A host that can't be connected to at first: its accept queue is full until the test lets it accept. The system
+        repeats a connection attempt that found the queue full after a second. */
     static final class LateHost implements AutoCloseable {
 
-        private static final int FULL_MILLIS = 500;  // far beyond what a connection on this machine takes
+        private static final int FULL_MILLIS = 500;  // far above the time that a connection on this machine takes
         private final ServerSocket socket;
         private final List<Socket> queued = new ArrayList<>();
-        private final Set<Integer> own = new HashSet<>();  // the ports of those that fill the queue, or found it full
+        private final Set<Integer> own = new HashSet<>();  // the ports of this class's own connection attempts
 
         LateHost() throws IOException {
             socket = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"));
             socket.setSoTimeout(WAIT_SECONDS * 1000);
             while (queues()) {
-                assert queued.size() < 64 : "the system takes connections without end";
+                assert queued.size() < 64 : "the accept queue does not fill up";
             }
         }
 
@@ -224,7 +225,7 @@
             return "127.0.0.1:" + socket.getLocalPort();
         }
 
-        /** Lets connections come up, and returns the first of another's that does. */
+        /** Accepts connections, and returns the first that is not this class's own. */
         Socket open() throws IOException {
             Socket first = socket.accept();
             while (own.contains(first.getPort())) {
@@ -244,6 +245,7 @@
         }
     }
 
+    /** A host that responds to each request with that body. */
     static Server host(String body) throws IOException {
         return new Server(message -> write(message.socket(), answer("200 OK", body)));
     }
@@ -257,18 +259,19 @@
         return "{\"rev\":" + rev + ",\"all\":" + all + ",\"targets\":[" + String.join(",", entries) + "]}";
     }
 
-    /** Discovery: every watch is open until the test ends it. */
+    /** A discovery server that keeps every watch open until the test closes it. */
     static Server discovery() throws IOException {
         return new Server(message -> write(message.socket(), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"));
     }
 
+    /** Sends a line to a watch, as a chunk of its response. */
     static void tell(Socket watch, String line) throws IOException {
         synchronized (watch) {
             write(watch, Integer.toHexString(line.length() + 1) + "\r\n" + line + "\n\r\n");
         }
     }
 
-    /** Three classes, one of each kind; what a test changes goes by replacing text. */
+    /** Settings with three request classes, one for each kind of idempotency; tests change them by text replacement. */
     static final String SETTINGS = "{\"allowed\":{\"cancel\":true,\"conn_idle\":5000000,\"dial_timeout\":20000000,"
             + "\"max_attempts\":4,\"max_open\":20000,\"max_retry_after\":2000000,\"parallel_tries\":true,"
             + "\"probes\":false,\"retry_after\":false},\"balancers\":1,\"classes\":["
@@ -308,7 +311,7 @@
             this(environment, null);
         }
 
-        /** On a listening socket that others hold as well. */
+        /** On a listening socket that is inherited; listens itself if it is null. */
         Node(Map<String, String> environment, ServerSocketChannel passed) {
             Config config = Config.read(environment);
             Tally tally = config.tally();
@@ -319,7 +322,7 @@
             Main.listen(clients, config, passed, loop, life, out::println);
         }
 
-        /** Has the gateway's clock jump; what it has scheduled already comes when it would have come. */
+        /** Advances the gateway's clock; timers that are set already are not affected. */
         void jump(int millis) {
             ahead.addAndGet(TimeUnit.MILLISECONDS.toNanos(millis));
         }
@@ -332,7 +335,7 @@
             return socket;
         }
 
-        /** One request on a connection of its own. */
+        /** Sends a request on a new connection and reads the response. */
         Message ask(String request) throws IOException {
             Socket socket = connect();
             write(socket, request);
@@ -348,25 +351,27 @@
             adminLoop.parent().shutdownGracefully(0, 0, TimeUnit.SECONDS).syncUninterruptibly();
         }
 
-        /** One operators' call on a connection of its own. */
+        /** Sends a request to the admin address on a new connection, which has to be closed after the response. */
         Message call(String line) throws IOException {
             try (Socket socket = new Socket(admin.address().getAddress(), admin.address().getPort())) {
                 socket.setSoTimeout(WAIT_SECONDS * 1000);
                 write(socket, line + " HTTP/1.1\r\nHost: s\r\n\r\n");
                 Message answer = read(socket);
                 if (socket.getInputStream().read() >= 0) {
-                    throw new AssertionError("the connection goes on behind " + answer.head);
+                    throw new AssertionError("the connection stays open after " + answer.head);
                 }
                 return answer;
             }
         }
     }
 
+    /** A GET request of the class {@code read} with that time limit. */
     static String read(int millis) {
         return "GET /api HTTP/1.1\r\nHost: s\r\nX-Trace-Id: 9b1f\r\nX-Qos: read\r\nX-Customer: acme\r\n"
                 + "X-Object: 7f3a\r\nX-Expires-In-Ms: " + millis + "\r\n\r\n";
     }
 
+    /** A POST request of that class with that time limit. */
     static String post(String type, int millis, String body) {
         return "POST /api/x?y=1%20z HTTP/1.1\r\nHost: s\r\nX-Trace-Id: 9b1f\r\nX-Qos: " + type
                 + "\r\nX-Customer: acme\r\nX-Object: 7f3a\r\nX-Expires-In-Ms: " + millis + "\r\n"
--- a/src/test/java/mastdrift/net/ReadAheadTest.java
+++ b/src/test/java/mastdrift/net/ReadAheadTest.java
@@ -10,6 +10,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
+/** When input that was read in a turn of the event loop is delivered. */
 class ReadAheadTest {
 
     private static final int READS_OF_A_TURN = 16;
@@ -41,7 +42,7 @@
         assertEquals(READS_OF_A_TURN - 1, passedOn());
     }
 
-    /** Reads of one byte fill a turn; the client's end lies in the next. */
+    /** Reads of one byte reach the limit of a turn; the client's disconnect may be found in the next. */
     @Test
     void aTurnThatMayHaveLeftSomethingWaitsForTheNext() {
         channel.freezeTime();
--- a/src/test/java/mastdrift/net/ServingTest.java
+++ b/src/test/java/mastdrift/net/ServingTest.java
@@ -32,7 +32,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Requests through a whole gateway: what is passed on, how attempts end, and what that allows. */
+/** Requests through a whole gateway: what is forwarded, how attempts end, and when they may be retried. */
 class ServingTest {
 
     @TempDir
@@ -63,7 +63,7 @@
         }
     }
 
-    /** One form that HTTP/1.1 has for the target of any request; hosts are sent the usual one. */
+    /** HTTP/1.1 allows the absolute form for the target of any request; hosts are sent the origin form. */
     @Test
     void aWholeAddressForATargetIsServed() throws Exception {
         try (Server discovery = discovery(); Server host = host("ok"); Node node = node(discovery, up("s1", host))) {
@@ -73,7 +73,7 @@
         }
     }
 
-    /** Acts as told on the first request that reaches any of its hosts, and serves the others. */
+    /** Acts as {@code what} says on the first request that reaches any of the hosts, and serves the others. */
     private static Script first(AtomicInteger count, String what) {
         return message -> {
             if (count.getAndIncrement() > 0) {
@@ -89,7 +89,7 @@
         };
     }
 
-    /** What never ran goes to the other host even where it must not run twice. */
+    /** A request that was not started is retried at the other host even if it is not idempotent. */
     @ParameterizedTest
     @ValueSource(strings = {"HTTP/1.1 503 No~X-Never-Ran: 1~Content-Length: 0~~",
         "HTTP/1.1 504 No~X-Never-Ran: 1~Content-Length: 0~~"})
@@ -102,7 +102,7 @@
         }
     }
 
-    /** Whichever host the key draws first, it is the closed one in one of the two cases. */
+    /** Whichever host the key selects first, it is the closed one in one of the two cases. */
     @ParameterizedTest
     @CsvSource({"s1, s2", "s2, s1"})
     void aRefusedConnectionNeverRan(String down, String up) throws Exception {
@@ -114,7 +114,7 @@
         }
     }
 
-    /** Guards against a second effect: each of these may have run, so the request fails and isn't refused. */
+    /** Guards against a second execution: each of these requests may have run, so it fails and is not refused. */
     @ParameterizedTest
     @ValueSource(strings = {"break", "HTTP/1.1 500 Oh~Content-Length: 0~~", "HTTP/1.1 503 Oh~Content-Length: 0~~",
         "HTTP/1.1 404 Oh~Content-Length: 0~~", "HTTP/1.1 503 Oh~X-Never-Ran: 0~Content-Length: 0~~", "nonsense~~",
@@ -128,7 +128,7 @@
         }
     }
 
-    /** A keyed request that may have run stays within the zone that drops its repeats. */
+    /** A keyed request that may have run is retried only within the zone that detects duplicates. */
     @ParameterizedTest
     @CsvSource({"a, a, 200, 2", "a, b, 502, 1"})
     void aKeyedRequestIsSentAgainWithinItsGroupOnly(String zone, String other, int status, int sends) throws Exception {
@@ -154,7 +154,7 @@
         }
     }
 
-    /** Guards against a request that waits past its client: a silent host must not hold its answer back. */
+    /** Guards against a request that outlasts its client's deadline because its host is silent. */
     @ParameterizedTest
     @CsvSource({"read, 503", "once, 504"})
     void aSilentHostIsGivenUpAtTheDeadline(String type, int status) throws Exception {
@@ -166,7 +166,7 @@
         }
     }
 
-    /** Guards against work for nobody: when the client goes, its attempt's connection closes. */
+    /** Guards against wasted work at a host: when the client disconnects, its attempt's connection is closed. */
     @Test
     void aClientThatLeavesEndsItsAttempt() throws Exception {
         try (Server discovery = discovery(); Server host = new Server(message -> { });
@@ -221,8 +221,8 @@
         }
     }
 
-    /** Guards against a request hidden in the body of another: where the end of one is in doubt, nothing is passed on
-        and the connection ends. */
+    /** Guards against request smuggling: where the end of a request is ambiguous, nothing is forwarded and the
+        connection is closed. */
     @ParameterizedTest
     @ValueSource(strings = {"Content-Length: 5~Transfer-Encoding: chunked~~0~~", "Transfer-Encoding: gzip~~",
         "Content-Length: 5~Content-Length: 6~~12345", "Content-Length: -1~~", "Content-Length: 99999999999999999999~~",
@@ -247,7 +247,8 @@
         }
     }
 
-    /** Guards against answers mixed up between clients, one of which uses the id of the other's open request. */
+    /** Guards against responses confused between clients, one of which uses the trace id of the other's open request.
+        */
     @Test
     void theIdOfAnOpenRequestIsTurnedAway() throws Exception {
         try (Server discovery = discovery(); Server host = new Server(message -> { });
@@ -263,7 +264,7 @@
         }
     }
 
-    /** Guards against connections held by clients that never finish a request, however they trickle. */
+    /** Guards against connections occupied by clients that never finish a request, even if they trickle bytes. */
     @ParameterizedTest
     @ValueSource(strings = {"", "GET /api HT", "POST /api HTTP/1.1~Content-Length: 99~~part"})
     void aRequestThatDoesNotComeWholeInTimeEndsItsConnection(String part) throws Exception {
--- a/src/test/java/mastdrift/net/TcpChannelTest.java
+++ b/src/test/java/mastdrift/net/TcpChannelTest.java
@@ -6,6 +6,7 @@
 import java.io.IOException;
 import org.junit.jupiter.api.Test;
 
+/** Which failures of a write are treated as a passing lack of memory. */
 class TcpChannelTest {
 
     @Test
