--- a/src/main/java/mastdrift/net/Admin.java
+++ b/src/main/java/mastdrift/net/Admin.java
@@ -55,7 +55,7 @@
     static Admin open(InetSocketAddress at, EventLoop loop, Life life, Tally tally) {
         Admin admin = new Admin(loop, life, tally);
         ChannelFuture bound = new ServerBootstrap().group(loop)
-                .channelFactory(() -> new Listener(() -> 0, failure -> { }))
+                .channelFactory(() -> new TcpServerChannel(() -> 0, failure -> { }))
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childOption(ChannelOption.ALLOCATOR, UnpooledByteBufAllocator.DEFAULT)  // a pool costs MBs a thread
                 .childHandler(new ChannelInitializer<Channel>() {
--- a/src/main/java/mastdrift/net/Relay.java
+++ b/src/main/java/mastdrift/net/BodyRelay.java
@@ -11,7 +11,7 @@
 /** Passes the rest of a body from the connection that reads it to the one that writes it, in bounded memory: reading
     pauses while the relay is full, and writing while the target channel is not writable. Used on one event loop's
     thread. */
-final class Relay {
+final class BodyRelay {
 
     // A single read may exceed it.
     private static final int HELD_BYTES_MOST = 32 << 10;
@@ -29,28 +29,28 @@
     // ---- the reading side
 
     /** {@code listener} runs when the relay becomes full and when it is no longer full. */
-    void onPace(Runnable then) {
+    void onFullChange(Runnable then) {
         pace = then;
     }
 
     /** Takes ownership of the buffer. */
     void add(ByteBuf piece) {
-        if (abandoned || over()) {
+        if (abandoned || isFinished()) {
             piece.release();
             return;
         }
         pieces.add(piece);
         held += piece.readableBytes();
-        goOn();
-        if (full()) {
+        resumeWriting();
+        if (isFull()) {
             pace.run();
         }
     }
 
     /** The whole body has been added. */
-    void end() {
+    void complete() {
         whole = !broken;
-        goOn();
+        resumeWriting();
     }
 
     /** The rest of the body can't be read. If no writer has been set yet, what is buffered is discarded. */
@@ -59,10 +59,10 @@
         if (to == null && broken) {
             drop();
         }
-        goOn();
+        resumeWriting();
     }
 
-    boolean full() {
+    boolean isFull() {
         return held >= HELD_BYTES_MOST;
     }
 
@@ -71,7 +71,7 @@
     }
 
     /** Whether nothing more will be added. */
-    boolean over() {
+    boolean isFinished() {
         return whole || broken;
     }
 
@@ -81,21 +81,21 @@
     void writeTo(Channel channel, Consumer<Boolean> then) {
         to = channel;
         done = then;
-        goOn();
+        resumeWriting();
     }
 
     /** Whether the target channel has not taken all that was added. */
-    boolean waits() {
+    boolean hasUnwrittenData() {
         return held > 0 || to != null && !to.isWritable();
     }
 
     /** Writes as much as the target channel takes. A write that fills the channel calls this again while a chunk is
         half written: the nested call must write nothing. */
-    void goOn() {
+    void resumeWriting() {
         if (writing) {
             return;
         }
-        boolean before = full();
+        boolean before = isFull();
         writing = true;
         for (Channel channel = to; channel != null && channel.isWritable() && !pieces.isEmpty(); channel = to) {
             while (channel.isWritable() && !pieces.isEmpty()) {
@@ -106,10 +106,10 @@
             channel.flush();  // may make the channel writable again, or close it and abandon this relay
         }
         writing = false;
-        if (before && !full()) {
+        if (before && !isFull()) {
             pace.run();
         }
-        if (to != null && pieces.isEmpty() && over()) {
+        if (to != null && pieces.isEmpty() && isFinished()) {
             Channel last = to;
             to = null;
             if (broken) {
--- a/src/main/java/mastdrift/net/ConnectionLimit.java
+++ b/src/main/java/mastdrift/net/ConnectionLimit.java
@@ -15,19 +15,19 @@
     loop's thread.
 
     @param <C> a client's connection */
-final class ConnectionLimit<C extends ConnectionLimit.Held> {
+final class ConnectionLimit<C extends ConnectionLimit.Evictable> {
 
     /** A connection that may have to be closed. */
-    interface Held {
+    interface Evictable {
 
         /** Whether a part of a request, or unprocessed input, has arrived. */
-        boolean sending();
+        boolean isSendingRequest();
 
         /** Whether input has been read and not been processed. */
-        boolean unread();
+        boolean hasUnprocessedInput();
 
         /** Starts a lingering close, which ends when the client closes its side, or after a while. */
-        void end();
+        void closeGracefully();
 
         /** Closes the connection at once. */
         void close();
@@ -41,7 +41,7 @@
     private final Consumer<Boolean> accept;
     private final Runnable pushedOut;
     private final Set<C> all = new HashSet<>();
-    private final LinkedHashSet<C> silent = new LinkedHashSet<>();  // those without a first request, oldest first
+    private final LinkedHashSet<C> withoutRequest = new LinkedHashSet<>();  // those without a first request, oldest first
     private final LinkedHashSet<C> idle = new LinkedHashSet<>();  // longest idle first
     private final LinkedHashSet<C> lingering = new LinkedHashSet<>();  // in a lingering close, oldest first
     private final Set<C> unlooked = new HashSet<>();
@@ -63,7 +63,7 @@
     }
 
     /** How many more connections may be accepted. */
-    int room() {
+    int remainingCapacity() {
         return Math.max(0, most - all.size());
     }
 
@@ -72,18 +72,18 @@
     }
 
     /** Connections without a request in progress, beginning with those that never sent one, oldest first. */
-    List<C> resting() {
-        return Stream.concat(silent.stream(), idle.stream()).toList();
+    List<C> awaitingRequest() {
+        return Stream.concat(withoutRequest.stream(), idle.stream()).toList();
     }
 
-    boolean silent(C connection) {
-        return silent.contains(connection);
+    boolean hasSentNoRequest(C connection) {
+        return withoutRequest.contains(connection);
     }
 
     /** Adds a connection that has been accepted. */
-    void came(C connection) {
+    void add(C connection) {
         all.add(connection);
-        silent.add(connection);
+        withoutRequest.add(connection);
         unlooked.add(connection);
         newest = connection;
         // A timer that one of the loop's tasks sets runs only after the loop has processed all sockets.
@@ -93,47 +93,47 @@
             lingering.remove(eldest);  // its close is reported only later, and the next new connection has to close another
             eldest.close();
         }
-        keep();
+        enforce();
     }
 
     private void looked(C connection) {
         unlooked.remove(connection);
-        keep();
+        enforce();
     }
 
     /** A request has been read on the connection. */
-    void asked(C connection) {
-        silent.remove(connection);
+    void requestReceived(C connection) {
+        withoutRequest.remove(connection);
         idle.remove(connection);
     }
 
     /** The connection has no request in progress and waits for the next. */
-    void rests(C connection) {
+    void becameIdle(C connection) {
         idle.add(connection);
-        keep();
+        enforce();
     }
 
     /** The connection is in a lingering close. */
-    void lingers(C connection) {
-        asked(connection);
+    void startedLingering(C connection) {
+        requestReceived(connection);
         lingering.add(connection);
-        keep();
+        enforce();
     }
 
     /** Removes a connection that has been closed. */
-    void gone(C connection) {
-        asked(connection);
+    void remove(C connection) {
+        requestReceived(connection);
         all.remove(connection);
         newest = newest == connection ? null : newest;
         unlooked.remove(connection);
         lingering.remove(connection);
-        keep();
+        enforce();
     }
 
     /** Closes connections in excess of the limit, and stops accepting while there are too many. A new connection is not
         closed before its first read, since a request may wait in its socket: while only such could be closed, no more
         are accepted. Lingering connections do not count, as a new connection replaces them. */
-    void keep() {
+    void enforce() {
         if (making) {
             return;
         }
@@ -153,31 +153,31 @@
     private void makeRoom() {
         while (over()) {
             C first = first();
-            if (first == null || unlooked.contains(first) || first.unread()) {
+            if (first == null || unlooked.contains(first) || first.hasUnprocessedInput()) {
                 return;
             }
             pushedOut.run();
-            first.end();
-            asked(first);  // it may have closed by itself without being removed yet: not to be chosen again
+            first.closeGracefully();
+            requestReceived(first);  // it may have closed by itself without being removed yet: not to be chosen again
         }
     }
 
     /** The connection to close next; null if all have requests in progress. */
     private C first() {
         C eldest = null;  // first connection that is sending a request
-        for (Set<C> waiting : List.of(silent, idle)) {
+        for (Set<C> waiting : List.of(withoutRequest, idle)) {
             for (C connection : waiting) {
-                if (connection != newest && !connection.sending()) {
+                if (connection != newest && !connection.isSendingRequest()) {
                     return connection;
                 }
                 eldest = eldest == null ? connection : eldest;
             }
         }
-        return resting(newest) && !newest.sending() ? newest : eldest;
+        return awaitingRequest(newest) && !newest.isSendingRequest() ? newest : eldest;
     }
 
-    private boolean resting(C connection) {
-        return silent.contains(connection) || idle.contains(connection);
+    private boolean awaitingRequest(C connection) {
+        return withoutRequest.contains(connection) || idle.contains(connection);
     }
 
     private void accepts(boolean wanted) {
--- a/src/main/java/mastdrift/net/ClientSide.java
+++ b/src/main/java/mastdrift/net/DownstreamServer.java
@@ -53,7 +53,7 @@
 /** The HTTP server that clients connect to: decodes and validates requests, submits them to the gateway, and writes the
     final responses. Also drains client connections for a standby and closes them for a graceful shutdown. Used on the
     event loop's thread alone. */
-final class ClientSide {
+final class DownstreamServer {
 
     private static final int BACKLOG_CONNECTIONS = 1024;
     private static final int PIPELINED_REQUESTS_MOST = 8;
@@ -65,7 +65,7 @@
     // Limit, over all client connections, of what is read ahead of its turn.
     private static final int AHEAD_BYTES_MOST = 8 << 20;
     // At a shutdown, new connections arrive for a while until the load balancer in front has noticed it.
-    static final long STOP_ACCEPTING_MILLIS = 500;
+    static final long SHUTDOWN_ACCEPT_MILLIS = 500;
     // At a shutdown, open connections are served for up to MAX_SHUTDOWN_SERVE_MICROS, since other gateways may be down
     // as well. All requests are answered within the longest deadline plus SHUTDOWN_ANSWER_MICROS, before the process
     // may be killed.
@@ -75,7 +75,7 @@
     // A connection that is closed gracefully reads and discards input for this long, unless its client closes before.
     private static final long LINGER_MILLIS = 2000;
     /** Kept small, since hundreds of connections may each hold a read and a write of this size. */
-    static final WriteBufferWaterMark WRITE_SIZES = new WriteBufferWaterMark(16 << 10, 32 << 10);
+    static final WriteBufferWaterMark WRITE_WATER_MARK = new WriteBufferWaterMark(16 << 10, 32 << 10);
     private static final long IDLE_MICROS_MOST = 10_000_000;  // connections without requests are not kept forever
     private static final long SWEEP_SPAN_MICROS = LoopMonitor.SPAN_MICROS;
     // The time limit that a host is given may exceed the client's by this much; the platform tolerates 0.15 s.
@@ -97,10 +97,10 @@
     private final Life life;
     private final Map<String, RequestClass> classes = new HashMap<>();
     private final Set<String> tenants = new HashSet<>();
-    private final ConnectionLimit<Connection> connections;
-    private final ReadAhead.Group ahead = new ReadAhead.Group(AHEAD_BYTES_MOST);
+    private final ConnectionLimit<ClientConnection> connections;
+    private final ReadAheadHandler.MemoryBudget ahead = new ReadAheadHandler.MemoryBudget(AHEAD_BYTES_MOST);
     private final Set<String> open = new HashSet<>();  // trace ids of requests without a response
-    private Listener server;
+    private TcpServerChannel server;
     private boolean sweeping;
     private boolean accepting = true;
     private boolean shared;  // a successor process accepts from the same socket
@@ -110,7 +110,7 @@
     private Runnable stopped;
 
     /** Serves about {@code maxConnections} connections at a time. */
-    ClientSide(EventLoop loop, Gateway gateway, Settings settings, int most, Life life) {
+    DownstreamServer(EventLoop loop, Gateway gateway, Settings settings, int most, Life life) {
         this.loop = loop;
         this.gateway = gateway;
         this.life = life;
@@ -125,8 +125,8 @@
     }
 
     /** Whether no input of clients is held that was read ahead of its turn. */
-    boolean holdsNothing() {
-        return ahead.empty();
+    boolean hasNoReadAheadData() {
+        return ahead.isUnused();
     }
 
     InetSocketAddress address() {
@@ -135,43 +135,43 @@
 
     /** Binds the address and accepts connections. */
     ChannelFuture listen(InetSocketAddress at) {
-        return listening(bootstrap().channelFactory(() -> new Listener(gateway::now, this::acceptFailed, this::accepted))
+        return listening(bootstrap().channelFactory(() -> new TcpServerChannel(gateway::now, this::acceptFailed, this::accepted))
                 .bind(at));
     }
 
     /** Accepts connections from a listening socket that predecessor and successor processes share. */
-    ChannelFuture accept(ServerSocketChannel passed) {
+    ChannelFuture listenOnInherited(ServerSocketChannel passed) {
         shared = true;
-        return listening(bootstrap().channelFactory(() -> new Listener(passed, gateway::now, this::acceptFailed, this::accepted))
+        return listening(bootstrap().channelFactory(() -> new TcpServerChannel(passed, gateway::now, this::acceptFailed, this::accepted))
                 .register());
     }
 
     /** Keeps the channel of an attempt to listen; one that failed has none and may be repeated. */
     private ChannelFuture listening(ChannelFuture begun) {
-        if (begun.channel() instanceof Listener listener) {
+        if (begun.channel() instanceof TcpServerChannel listener) {
             server = listener;
         }
         if (!sweeping) {
             sweeping = true;
-            Periodic.every(loop, SWEEP_SPAN_MICROS, this::closeOverdue, gateway::log);
+            PeriodicTask.schedule(loop, SWEEP_SPAN_MICROS, this::closeOverdue, gateway::log);
         }
         return begun;
     }
 
     private void acceptMore(boolean wanted) {
-        server.accept(wanted && accepting);
+        server.setAccepting(wanted && accepting);
     }
 
     private void accepted(long begunAt) {
-        gateway.monitor().ended(LoopMonitor.Task.ACCEPT, begunAt);
+        gateway.loopMonitor().ended(LoopMonitor.Task.ACCEPT, begunAt);
     }
 
     private void acceptFailed(Exception cause) {
         gateway.tally().add(Tally.Count.ACCEPTS_FAILED);
-        gateway.events().add(EventLog.Event.ACCEPT_FAILED, "cause", cause);
+        gateway.eventLog().add(EventLog.Event.ACCEPT_FAILED, "cause", cause);
     }
 
-    static AdaptiveRecvByteBufAllocator readSizes() {
+    static AdaptiveRecvByteBufAllocator receiveBufferAllocator() {
         return new AdaptiveRecvByteBufAllocator(256, 2048, 16 << 10);
     }
 
@@ -180,14 +180,14 @@
                 .option(ChannelOption.SO_BACKLOG, BACKLOG_CONNECTIONS)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childOption(ChannelOption.SO_SNDBUF, SEND_BUFFER_BYTES)
-                .childOption(ChannelOption.RECVBUF_ALLOCATOR, ReadAhead.sizes())
-                .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, WRITE_SIZES)
+                .childOption(ChannelOption.RECVBUF_ALLOCATOR, ReadAheadHandler.receiveBufferAllocator())
+                .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, WRITE_WATER_MARK)
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        Connection connection = new Connection(channel);
+                        ClientConnection connection = new ClientConnection(channel);
                         channel.pipeline().addLast(connection.reading,
-                                new MonitoredReads(gateway.monitor(), LoopMonitor.Task.CLIENT_READ), connection.requests,
+                                new ReadTimingHandler(gateway.loopMonitor(), LoopMonitor.Task.CLIENT_READ), connection.requests,
                                 new HttpResponseEncoder(), connection.assembler, new WriteTimeoutHandler(WRITE_SECONDS), connection);
                     }
                 });
@@ -195,7 +195,7 @@
 
     /** Starts a drain at a standby and ends it when the gateway becomes active again. Called on the loop's thread after
         each change of the lifecycle state. */
-    void drainOrNot() {
+    void lifecycleStateChanged() {
         if (life.state() == Life.State.STANDBY && drain == null) {
             gateway.log("standby");
             drain = loop.schedule(() -> {
@@ -226,16 +226,16 @@
             drain.cancel(false);
         }
         long longest = classes.values().stream().mapToLong(RequestClass::deadline).max().orElse(0);
-        gateway.answerBy(gateway.now() + stopAnswered(longest));
+        gateway.setAnswerDeadline(gateway.now() + shutdownAnswerMicros(longest));
         if (shared) {
             // The successor accepts from now on. The socket is descriptor 0 and stays open: if it were closed, the
             // virtual machine would redirect the descriptors and the log would be lost.
             closing = true;
             accepting = false;
-            server.accept(false);
+            server.setAccepting(false);
             gateway.retire();
         } else {
-            loop.schedule(() -> server.closeBehindTheLast(connections.room()), STOP_ACCEPTING_MILLIS,
+            loop.schedule(() -> server.drainAndClose(connections.remainingCapacity()), SHUTDOWN_ACCEPT_MILLIS,
                     TimeUnit.MILLISECONDS);
         }
         loop.schedule(() -> {
@@ -243,37 +243,37 @@
             closeIdle();
             stopped = then;
             checkStopped();
-        }, stopServing(longest), TimeUnit.MICROSECONDS);
-        loop.schedule(() -> connections.resting().forEach(Connection::end), stopAnswered(longest),
+        }, shutdownServeMicros(longest), TimeUnit.MICROSECONDS);
+        loop.schedule(() -> connections.awaitingRequest().forEach(ClientConnection::closeGracefully), shutdownAnswerMicros(longest),
                 TimeUnit.MICROSECONDS);
     }
 
     /** From the start of a shutdown until all requests are answered: less than until the kill, which comes 0.7 s plus
         the longest deadline after the start. */
-    static long stopAnswered(long longestDeadline) {
+    static long shutdownAnswerMicros(long longestDeadline) {
         return STOP_ANSWERED_MICROS + Math.min(longestDeadline, DEADLINE_COUNTED_MICROS);
     }
 
     /** From the start of a shutdown until connections close and no request is accepted: leaves the last request a third
         of the time until all are answered. */
-    static long stopServing(long longestDeadline) {
-        return Math.min(STOP_SERVING_MICROS_MOST, stopAnswered(longestDeadline) * 2 / 3);
+    static long shutdownServeMicros(long longestDeadline) {
+        return Math.min(STOP_SERVING_MICROS_MOST, shutdownAnswerMicros(longestDeadline) * 2 / 3);
     }
 
     /** Closes connections without a request. Those that are sending one are closed after its response. */
     private void closeIdle() {
-        connections.resting().stream().filter(connection -> !connection.sending()).forEach(Connection::end);
+        connections.awaitingRequest().stream().filter(connection -> !connection.isSendingRequest()).forEach(ClientConnection::closeGracefully);
     }
 
     private void closeOverdue() {
-        LoopMonitor monitor = gateway.monitor();
+        LoopMonitor monitor = gateway.loopMonitor();
         monitor.look();
         long now = monitor.begin();
         if (server != null) {
-            server.lookUnwatched();
+            server.pollUnlessNotified();
         }
         connections.all().forEach(connection -> connection.closeOverdue(now));
-        connections.keep();  // input that prevented an eviction may have been processed since
+        connections.enforce();  // input that prevented an eviction may have been processed since
         monitor.ended(LoopMonitor.Task.SWEEP, now);
     }
 
@@ -290,7 +290,7 @@
     }
 
     /** A request that waits for its turn on its connection; {@code bodyRelay} is null if it is complete. */
-    private record Arrived(FullHttpRequest message, Relay rest, long at) {
+    private record PendingRequest(FullHttpRequest message, BodyRelay rest, long at) {
 
         /** Releases a request that is not going to be handled. */
         private void drop() {
@@ -302,7 +302,7 @@
     }
 
     /** An HTTP request decoder that tells whether it holds undecoded input. */
-    private static final class Requests extends HttpRequestDecoder {
+    private static final class RequestDecoder extends HttpRequestDecoder {
 
         /** Whether bytes have been read that were not decoded to a part of a request yet. */
         boolean midway() {
@@ -311,19 +311,19 @@
     }
 
     /** One client's connection: handles its requests one after the other, in the order in which they came. */
-    private final class Connection extends SimpleChannelInboundHandler<Assembler.Part>
-            implements Gateway.Client, ConnectionLimit.Held {
+    private final class ClientConnection extends SimpleChannelInboundHandler<MessageAggregator.AggregatedMessage>
+            implements Gateway.Client, ConnectionLimit.Evictable {
 
         private final Channel channel;
-        private final ReadAhead reading = new ReadAhead(ahead, this::departureMatters, gateway::now);
-        private final Requests requests = new Requests();
-        private final Assembler assembler = new Assembler();
-        private final Arrival arrival = new Arrival();
-        private final Queue<Arrived> waiting = new ArrayDeque<>();
+        private final ReadAheadHandler reading = new ReadAheadHandler(ahead, this::departureMatters, gateway::now);
+        private final RequestDecoder requests = new RequestDecoder();
+        private final MessageAggregator assembler = new MessageAggregator();
+        private final RequestReadTimer arrival = new RequestReadTimer();
+        private final Queue<PendingRequest> waiting = new ArrayDeque<>();
         private FullHttpRequest current;
-        private Relay currentRest;  // null if the current request was complete when it was passed on
-        private Relay coming;  // of the request that is being read, the current one or a later one
-        private Relay going;  // of the response that is being written
+        private BodyRelay currentRest;  // null if the current request was complete when it was passed on
+        private BodyRelay coming;  // of the request that is being read, the current one or a later one
+        private BodyRelay going;  // of the response that is being written
         private boolean expects;  // the client waits for a 100 response before it sends the body
         private Gateway.Exchange exchange;
         private String id;
@@ -334,32 +334,32 @@
         private Throwable failure;  // of a read or write
         private long idleSince = gateway.now();
 
-        Connection(Channel channel) {
+        ClientConnection(Channel channel) {
             this.channel = channel;
         }
 
         /** Pauses reading while enough requests wait or the relay of the incoming body is full. */
         private void pace() {
-            boolean takes = waiting.size() <= PIPELINED_REQUESTS_MOST && (coming == null || !coming.full());
-            if (arrival.pause(!takes, gateway.now())) {
-                reading.pause(!takes);
+            boolean takes = waiting.size() <= PIPELINED_REQUESTS_MOST && (coming == null || !coming.isFull());
+            if (arrival.setPaused(!takes, gateway.now())) {
+                reading.setPaused(!takes);
             }
         }
 
         /** Whether a disconnect of the client could still prevent something from being sent to a host. That is not so
             only while the current request's body is read and streamed to a host: no later request can have arrived. */
         private boolean departureMatters() {
-            return exchange == null || !exchange.relays() || coming != currentRest;
+            return exchange == null || !exchange.isRequestStreaming() || coming != currentRest;
         }
 
         @Override
-        public boolean sending() {
-            return arrival.begun() || unread();
+        public boolean isSendingRequest() {
+            return arrival.isRunning() || hasUnprocessedInput();
         }
 
         @Override
-        public boolean unread() {
-            return reading.holds();
+        public boolean hasUnprocessedInput() {
+            return reading.hasBufferedData();
         }
 
         @Override
@@ -369,7 +369,7 @@
 
         @Override
         public void channelActive(ChannelHandlerContext context) {
-            connections.came(this);
+            connections.add(this);
             gateway.tally().add(Tally.Count.CLIENTS_CAME);
             gateway.tally().level(Tally.Level.CLIENT_CONNECTIONS, connections.size());
         }
@@ -377,17 +377,17 @@
         /** Closes the connection if it has been idle, or has been sending a request, for too long. Sends no 408
             response, which might cross a request and be taken for its response. */
         private void closeOverdue(long now) {
-            boolean asked = !connections.silent(this);
-            long idleMost = drained ? DRAINED_IDLE_MICROS_MOST : asked ? IDLE_MICROS_MOST : Arrival.HEAD_IN_MICROS;
+            boolean asked = !connections.hasSentNoRequest(this);
+            long idleMost = drained ? DRAINED_IDLE_MICROS_MOST : asked ? IDLE_MICROS_MOST : RequestReadTimer.HEAD_TIMEOUT_MICROS;
             if (over) {
                 return;  // a timer closes it
             }
-            reading.pace();
-            reading.readUnwatched();
-            if (!sending() && current == null && now - idleSince > idleMost) {
-                end();
-            } else if (arrival.begun() && (current == null || coming != null)
-                    && arrival.overdue(now, asked ? 0 : idleSince, assembler.bytes())) {
+            reading.updateAutoRead();
+            reading.readUnlessNotified();
+            if (!isSendingRequest() && current == null && now - idleSince > idleMost) {
+                closeGracefully();
+            } else if (arrival.isRunning() && (current == null || coming != null)
+                    && arrival.isExpired(now, asked ? 0 : idleSince, assembler.bytes())) {
                 close(CloseReason.REQUEST_TOO_SLOW);  // an incomplete request needs no response
             }
         }
@@ -397,20 +397,20 @@
             by which the client may lose the last response. Later requests are not handled: the client sees that the
             connection ended. */
         @Override
-        public void end() {
+        public void closeGracefully() {
             if (over || !channel.isActive()) {
                 return;
             }
             over = true;
             drop();
-            reading.drop();
+            reading.discardInput();
             ((DuplexChannel) channel).shutdownOutput();
-            connections.lingers(this);
+            connections.startedLingering(this);
             loop.schedule(() -> channel.close(), LINGER_MILLIS, TimeUnit.MILLISECONDS);
         }
 
         private void drop() {
-            waiting.forEach(Arrived::drop);
+            waiting.forEach(PendingRequest::drop);
             waiting.clear();
         }
 
@@ -428,18 +428,18 @@
             if (reason != CloseReason.CLIENT) {
                 gateway.tally().add(Tally.Count.UNANSWERED);
             }
-            gateway.events().add(EventLog.Event.CLIENT_GONE, "trace", id, "reason", reason, "cause", failure, "waiting",
+            gateway.eventLog().add(EventLog.Event.CLIENT_GONE, "trace", id, "reason", reason, "cause", failure, "waiting",
                     waiting.size());
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
             noteEnd();
-            connections.gone(this);
+            connections.remove(this);
             open.remove(id);
             drop();
             if (exchange != null) {
-                exchange.departed();
+                exchange.clientLeft();
             }
             if (currentRest != null) {
                 currentRest.abandon();
@@ -451,22 +451,22 @@
         }
 
         @Override
-        protected void channelRead0(ChannelHandlerContext context, Assembler.Part part) {
+        protected void channelRead0(ChannelHandlerContext context, MessageAggregator.AggregatedMessage part) {
             if (over) {  // decoded from the same read as the request that ended the connection
-                new Arrived((FullHttpRequest) part.message(), part.rest(), 0).drop();
+                new PendingRequest((FullHttpRequest) part.message(), part.bodyRelay(), 0).drop();
                 return;
             }
             read = true;
-            connections.asked(this);
-            coming = part.rest();
+            connections.requestReceived(this);
+            coming = part.bodyRelay();
             if (coming == null) {
                 expects = false;
-                arrival.end();
+                arrival.stop();
             } else {
-                arrival.begin(gateway.now());
-                coming.onPace(this::pace);
+                arrival.start(gateway.now());
+                coming.onFullChange(this::pace);
             }
-            waiting.add(new Arrived((FullHttpRequest) part.message(), coming, gateway.now()));
+            waiting.add(new PendingRequest((FullHttpRequest) part.message(), coming, gateway.now()));
             pace();
             if (current == null) {
                 next();
@@ -476,16 +476,16 @@
         /** Starts the read timer if a part of a request has been read, alone or after a complete one. */
         @Override
         public void channelReadComplete(ChannelHandlerContext context) {
-            arrival.read(gateway.now());
-            if (coming != null && coming.over()) {
+            arrival.dataReceived(gateway.now());
+            if (coming != null && coming.isFinished()) {
                 boolean whole = coming.whole();
                 coming = null;
-                arrival.end();
+                arrival.stop();
                 if (!whole) {
                     close(CloseReason.REQUEST_BROKEN);
                 }
-            } else if (!over && (!read || requests.midway() || assembler.holds())) {
-                arrival.begin(gateway.now());
+            } else if (!over && (!read || requests.midway() || assembler.hasIncompleteMessage())) {
+                arrival.start(gateway.now());
             }
             read = false;
         }
@@ -495,9 +495,9 @@
         public void userEventTriggered(ChannelHandlerContext context, Object event) {
             if (event == TcpChannel.WriteDeferred.INSTANCE) {
                 gateway.tally().add(Tally.Count.WRITES_DEFERRED);
-                gateway.events().add(EventLog.Event.WRITE_DEFERRED, "trace", id);
+                gateway.eventLog().add(EventLog.Event.WRITE_DEFERRED, "trace", id);
             }
-            if (event == Assembler.Event.EXPECTS) {
+            if (event == MessageAggregator.Event.CONTINUE_EXPECTED) {
                 expects = true;
                 askForBody();
             }
@@ -515,24 +515,24 @@
         @Override
         public void channelWritabilityChanged(ChannelHandlerContext context) {
             if (going != null) {
-                going.goOn();
+                going.resumeWriting();
             }
         }
 
         private void next() {
-            Arrived arrived = waiting.poll();
+            PendingRequest arrived = waiting.poll();
             pace();
-            if (arrived == null && stopped != null && !sending()) {
-                end();
+            if (arrived == null && stopped != null && !isSendingRequest()) {
+                closeGracefully();
                 return;
             }
             if (arrived == null) {
-                connections.rests(this);
+                connections.becameIdle(this);
                 idleSince = gateway.now();
                 askForBody();
                 return;
             }
-            connections.asked(this);
+            connections.requestReceived(this);
             current = arrived.message;
             currentRest = arrived.rest;
             askForBody();
@@ -543,7 +543,7 @@
             }
         }
 
-        private void begin(Arrived arrived) {
+        private void begin(PendingRequest arrived) {
             FullHttpRequest message = arrived.message;
             Throwable fault = message.decoderResult().cause();
             message.setUri(originForm(message.uri()));
@@ -592,7 +592,7 @@
                 id = trace;
                 long left = Math.min(expires * 1000, type.deadline()) - waited - queued();
                 long work = Math.max(0, number(headers.get("X-Size-Hint")));
-                Gateway.Exchange taken = gateway.take(this, message, currentRest, type.name(), tenant,
+                Gateway.Exchange taken = gateway.submit(this, message, currentRest, type.name(), tenant,
                         key(headers.get("X-Object")), left, "1".equals(headers.get("X-Second-Try")), work);
                 if (taken != null) {  // otherwise it was answered, and the next request may have been submitted already
                     exchange = taken;
@@ -607,7 +607,7 @@
                 return 0;
             }
             asked = true;
-            return Math.max(0, ((TcpChannel) channel).mayHaveWaited() - QUEUED_SLACK_MICROS);
+            return Math.max(0, ((TcpChannel) channel).maxAcceptQueueMicros() - QUEUED_SLACK_MICROS);
         }
 
         /** Whether the text can be forwarded unchanged, which holds for visible ASCII characters only. */
@@ -638,13 +638,13 @@
 
         /** While reading is paused for lack of memory, this tells only what was known before. */
         @Override
-        public boolean present() {
+        public boolean isConnected() {
             ((TcpChannel) channel).readNow();
             return channel.isActive();
         }
 
         @Override
-        public void served(FullHttpResponse answer) {
+        public void sendResponse(FullHttpResponse answer) {
             ByteBuf body = answer.content().retain();
             FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK, body);
             keepType(answer, response);
@@ -660,7 +660,7 @@
         /** Declares the body's length if it is known; otherwise sends chunks or, to a client without HTTP/1.1, a body
             that ends with the connection. */
         @Override
-        public void begun(FullHttpResponse answer, Relay rest, Consumer<Boolean> passed) {
+        public void startStreaming(FullHttpResponse answer, BodyRelay rest, Consumer<Boolean> passed) {
             HttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
             keepType(answer, response);
             boolean told = HttpUtil.isContentLengthSet(answer);
@@ -690,14 +690,14 @@
 
         /** The Retry-After header takes whole seconds. */
         @Override
-        public void refused(long retryAfter) {
+        public void sendRefusal(long retryAfter) {
             FullHttpResponse response = empty(HttpResponseStatus.SERVICE_UNAVAILABLE);
             response.headers().set(HttpHeaderNames.RETRY_AFTER, Math.max(1, (retryAfter + 999_999) / 1_000_000));
             write(response, false);
         }
 
         @Override
-        public void failed(boolean late) {
+        public void sendFailure(boolean late) {
             plain(late ? HttpResponseStatus.GATEWAY_TIMEOUT : HttpResponseStatus.BAD_GATEWAY, false);
         }
 
@@ -711,7 +711,7 @@
 
         /** Whether the connection stays open after the response to the current request. */
         private boolean keeps() {
-            boolean more = !closing || !waiting.isEmpty() || unread();
+            boolean more = !closing || !waiting.isEmpty() || hasUnprocessedInput();
             return more && HttpUtil.isKeepAlive(current) && (currentRest == null || currentRest.whole());
         }
 
@@ -740,7 +740,7 @@
             if (keep) {
                 next();
             } else {
-                end();
+                closeGracefully();
             }
         }
 
--- a/src/main/java/mastdrift/net/Gateway.java
+++ b/src/main/java/mastdrift/net/Gateway.java
@@ -50,25 +50,25 @@
 
     // Before an attempt, a client's connection is read again if the last check is older than this: the client may have
     // disconnected while the event loop was delayed, or the loop may handle a host's event ahead of the client's.
-    static final long LOOK_AFTER_MICROS = 50_000;
+    static final long CLIENT_CHECK_INTERVAL_MICROS = 50_000;
 
     /** The client of a request, which receives exactly one final response. */
     interface Client {
         /** Reads what has arrived on the connection; false if the client has disconnected. */
-        boolean present();
+        boolean isConnected();
 
         /** Sends a host's complete response, which the caller releases. */
-        void served(FullHttpResponse answer);
+        void sendResponse(FullHttpResponse answer);
 
         /** Sends the start of a host's response, which the caller releases, and then the rest of its body from the
             relay. {@code onWritten} is told whether all of it was written, unless the client disconnects before. */
-        void begun(FullHttpResponse answer, Relay rest, Consumer<Boolean> passed);
+        void startStreaming(FullHttpResponse answer, BodyRelay rest, Consumer<Boolean> passed);
 
         /** Sends a refusal that asks the client to retry after so many microseconds. */
-        void refused(long retryAfter);
+        void sendRefusal(long retryAfter);
 
         /** Sends a failure: a timeout if {@code late}, and otherwise a bad gateway. */
-        void failed(boolean late);
+        void sendFailure(boolean late);
     }
 
     /** An accepted request, kept until both the request and all its attempts have ended. */
@@ -78,7 +78,7 @@
         private final String className;
         private final FullHttpRequest message;
         private final String trace;
-        private final Relay rest;  // the rest of the body, null if the request is complete
+        private final BodyRelay rest;  // the rest of the body, null if the request is complete
         private final long kept;
         private long lookedAt = now();  // when the connection was last checked for a disconnect
         private final List<HostPool.Attempt> attempts = new ArrayList<>(2);
@@ -91,7 +91,7 @@
         private boolean late;
         private boolean ended;
 
-        private Exchange(Client client, String className, FullHttpRequest message, Relay rest, long kept) {
+        private Exchange(Client client, String className, FullHttpRequest message, BodyRelay rest, long kept) {
             this.client = client;
             this.className = className;
             this.message = message;
@@ -107,7 +107,7 @@
         }
 
         private void scheduleBackstop() {
-            long left = Math.min(due, answerBy - ANSWER_MARGIN_MICROS) - now();
+            long left = Math.min(due, answerDeadline - ANSWER_MARGIN_MICROS) - now();
             backstop = loop.schedule(() -> overdue(this), left + BACKSTOP_MICROS, TimeUnit.MICROSECONDS);
         }
 
@@ -121,7 +121,7 @@
         }
 
         /** Whether the body is being sent to a host, so that no other attempt can be made. */
-        boolean relays() {
+        boolean isRequestStreaming() {
             return relaying;
         }
 
@@ -135,7 +135,7 @@
         }
 
         /** The client has disconnected and needs no response. */
-        void departed() {
+        void clientLeft() {
             if (!ended) {
                 tally.add(Tally.Count.DEPARTED);
                 finish(this);
@@ -155,14 +155,14 @@
     private final Settings settings;
     private final Tally tally;
     private final EventLog log;
-    private final LoopMonitor monitor;
+    private final LoopMonitor loopMonitor;
     private final int openMost;
     private final Map<Long, Exchange> ledger = new HashMap<>();
-    private final Queue<Runnable> events = new ArrayDeque<>();
-    private final CompletableFuture<Void> heard = new CompletableFuture<>();
+    private final Queue<Runnable> pendingEvents = new ArrayDeque<>();
+    private final CompletableFuture<Void> firstListReceived = new CompletableFuture<>();
     private boolean inEvent;
     private long nextId = 1;
-    private long answerBy = Long.MAX_VALUE;
+    private long answerDeadline = Long.MAX_VALUE;
     private int open;
     private int incoming;  // of the open requests, those whose body has not arrived yet
     private final LongSupplier nanoTime;
@@ -182,20 +182,20 @@
         log = new EventLog(this::now, this::log);
         ThreadTimes times = new ThreadTimes();
         loop.parent().terminationFuture().addListener(ended -> times.close());
-        monitor = new LoopMonitor(this::now, times::read, tally, log);
+        loopMonitor = new LoopMonitor(this::now, times::read, tally, log);
         starts = new HostStarts(this::now, () -> System.currentTimeMillis() * 1000,
                 () -> log.add(EventLog.Event.CLOCK_STEPPED, "unix_ms", System.currentTimeMillis(), "steady_ms", now() / 1000));
         settings = config.settings();
         this.openMost = Math.min(openMost, settings.limits().maxOpenRequests());
-        hosts = new HostPool(loop, this::now, monitor, settings.connections().dialTimeout(), settings.connections().idleTimeout(),
+        hosts = new HostPool(loop, this::now, loopMonitor, settings.connections().dialTimeout(), settings.connections().idleTimeout(),
                 settings.guarantees().drainGrace(), hostConnections, tally, log);
         discovery = new Discovery(loop, config.discovery(), config.known().rev(),
                 list -> learn(list, list.all() ? ListUpdateType.FULL : ListUpdateType.DELTA), this::listFailed);
-        Periodic.every(loop, TALLY_SPAN_MICROS, this::logTally, this::log);
+        PeriodicTask.schedule(loop, TALLY_SPAN_MICROS, this::logTally, this::log);
         module.start(now(), settings, this);
         learn(config.known(), ListUpdateType.CACHED);
         if (settings.listOnRequest()) {
-            heard.complete(null);
+            firstListReceived.complete(null);
         } else {
             discovery.watch(true);
         }
@@ -204,8 +204,8 @@
     /** Completes with the first list from discovery, or with its first failure. Where lists are pushed, the rules count
         a list as known from the start of the process on, so that no client should be served by the configured, older
         list. */
-    CompletableFuture<Void> heard() {
-        return heard;
+    CompletableFuture<Void> firstListReceived() {
+        return firstListReceived;
     }
 
     /** Microseconds since the Unix epoch as of the start, and steady from then on: clock changes do not affect it.
@@ -215,13 +215,13 @@
     }
 
     /** The log of unusual events, to which the client connections add theirs. */
-    EventLog events() {
+    EventLog eventLog() {
         return log;
     }
 
     /** Measures how long the event loop's tasks take. */
-    LoopMonitor monitor() {
-        return monitor;
+    LoopMonitor loopMonitor() {
+        return loopMonitor;
     }
 
     /** The counters for log and metrics, to which the client connections add theirs. */
@@ -230,12 +230,12 @@
     }
 
     /** Starts to update those metrics that are polled from the balancer rather than counted. */
-    void keepFigures() {
-        Periodic.every(loop, FIGURES_SPAN_MICROS, () -> tally.set(Tally.Gauge.HOSTS_EXCLUDED, module.excludedHostCount(now())), this::log);
+    void startGaugeUpdates() {
+        PeriodicTask.schedule(loop, FIGURES_SPAN_MICROS, () -> tally.set(Tally.Gauge.HOSTS_EXCLUDED, module.excludedHostCount(now())), this::log);
     }
 
     /** Whether all requests and their attempts have ended and no resources are held for them. */
-    boolean owesNothing() {
+    boolean isIdle() {
         return open == 0 && incoming == 0 && ledger.isEmpty() && hosts.busy() == 0;
     }
 
@@ -248,8 +248,8 @@
 
     /** Sets the time, on the gateway's clock, by which all open and future requests are answered, since the process is
         about to end. Bodies that are being streamed may take longer. */
-    void answerBy(long at) {
-        answerBy = at;
+    void setAnswerDeadline(long at) {
+        answerDeadline = at;
         ledger.values().stream().filter(exchange -> !exchange.ended).forEach(Exchange::boundBackstop);
     }
 
@@ -259,7 +259,7 @@
     }
 
     /** Moves discovery to another address. */
-    void discoverAt(InetSocketAddress at) {
+    void setDiscoveryAddress(InetSocketAddress at) {
         log("discovery at " + NetUtil.toSocketAddressString(at));
         discovery.move(at);
     }
@@ -271,7 +271,7 @@
             tally.add(Tally.Count.OFF_LOOP);
             log.add(EventLog.Event.OFF_LOOP, "thread", Thread.currentThread().getName());
         }
-        events.add(() -> {
+        pendingEvents.add(() -> {
             try {
                 event.accept(now());
             } catch (RuntimeException | Error fault) {  // an out-of-memory error may concern one request alone
@@ -279,7 +279,7 @@
                 if (exchange != null && !exchange.ended) {
                     finish(exchange);
                     tally.add(exchange.className, Tally.Ended.FAILED);
-                    exchange.client.failed(false);
+                    exchange.client.sendFailure(false);
                     event(null, now -> module.clientLeft(now, exchange.id));
                 }
             }
@@ -289,7 +289,7 @@
         }
         inEvent = true;
         try {
-            for (Runnable next = events.poll(); next != null; next = events.poll()) {
+            for (Runnable next = pendingEvents.poll(); next != null; next = pendingEvents.poll()) {
                 next.run();
             }
         } finally {
@@ -298,7 +298,7 @@
     }
 
     private void learn(HostList told, ListUpdateType form) {
-        long begunAt = monitor.begin();
+        long begunAt = loopMonitor.begin();
         HostList list = told.withStarts(starts::place);
         if (form != ListUpdateType.CACHED) {
             starts.heard();
@@ -307,16 +307,16 @@
         tally.set(Tally.Gauge.HOSTS_KNOWN, hosts.known());
         log("list " + list.rev() + ": " + list.entries().size() + (list.all() ? " hosts" : " changes"));
         event(null, now -> module.hostListReceived(now, form, list.entries().stream().map(HostList.Entry::host).toList()));
-        monitor.ended(LoopMonitor.Task.HOST_LIST, begunAt);
+        loopMonitor.ended(LoopMonitor.Task.HOST_LIST, begunAt);
         if (form != ListUpdateType.CACHED) {
-            heard.complete(null);
+            firstListReceived.complete(null);
         }
     }
 
     private void listFailed(String cause) {
         log("discovery failed: " + cause);
         event(null, now -> module.hostListReceived(now, ListUpdateType.FAILED, List.of()));
-        heard.complete(null);
+        firstListReceived.complete(null);
     }
 
     private void countInFlight() {
@@ -325,20 +325,20 @@
 
     /** Accepts a request, retaining its message. {@code timeLeft} counts from the request's last byte;
         {@code bodyRelay} is null if the request is complete. Returns null if the request was answered at once. */
-    Exchange take(Client client, FullHttpRequest message, Relay rest, String className, String tenant, Long key,
+    Exchange submit(Client client, FullHttpRequest message, BodyRelay rest, String className, String tenant, Long key,
             long left, boolean repeated, long work) {
         tally.add(Tally.Count.TAKEN);
         if (open >= openMost) {
             tally.add(Tally.Count.REFUSED_AT_BOUND);
             tally.add(className, Tally.Ended.REFUSED);
-            client.refused(settings.limits().maxRetryAfter());
+            client.sendRefusal(settings.limits().maxRetryAfter());
             return null;
         }
-        long kept = Math.min(left, answerBy - now()) - ANSWER_MARGIN_MICROS;
+        long kept = Math.min(left, answerDeadline - now()) - ANSWER_MARGIN_MICROS;
         if (kept <= 0) {
             tally.add(Tally.Count.OVERDUE);
             tally.add(className, Tally.Ended.FAILED);
-            client.failed(true);
+            client.sendFailure(true);
             return null;
         }
         Exchange exchange = new Exchange(client, className, message.retain(), rest, kept);
@@ -360,7 +360,7 @@
             tally.add(Tally.Count.OVERDUE);
             finish(exchange);
             failed(exchange, "overdue");
-            exchange.client.failed(true);
+            exchange.client.sendFailure(true);
             event(null, now -> module.clientLeft(now, exchange.id));
         }
     }
@@ -404,7 +404,7 @@
         if (outcome == Outcome.DELIVERED && !exchange.ended && !exchange.begun) {
             finish(exchange);
             tally.add(exchange.className, Tally.Ended.SERVED);
-            exchange.client.served(answer);
+            exchange.client.sendResponse(answer);
         }
         event(exchange, now -> {
             exchange.out--;
@@ -414,7 +414,7 @@
     }
 
     /** Streams the rest of the response to the client: from now on no other attempt can answer the request. */
-    private void begun(Exchange exchange, int number, FullHttpResponse answer, Relay rest) {
+    private void begun(Exchange exchange, int number, FullHttpResponse answer, BodyRelay rest) {
         if (exchange.ended || exchange.begun) {
             rest.abandon();
             exchange.attempts.get(number).cancel();
@@ -423,7 +423,7 @@
         exchange.begun = true;
         exchange.backstop.cancel(false);
         event(exchange, now -> module.streamingStarted(now, exchange.id, number));
-        exchange.client.begun(answer, rest, whole -> {
+        exchange.client.startStreaming(answer, rest, whole -> {
             if (!exchange.ended) {
                 finish(exchange);
                 tally.add(exchange.className, whole ? Tally.Ended.SERVED : Tally.Ended.FAILED);
@@ -446,25 +446,25 @@
         boolean refused = exchange.ended || exchange.relaying || number >= settings.limits().maxAttempts();
         FullHttpRequest message = onward(exchange);
         exchange.attempts.add(hosts.send(uid, message, exchange.rest, refused ? 0 : timeout,
-                new Course(exchange, number, uid)));
+                new AttemptHandler(exchange, number, uid)));
         exchange.out++;  // not before: a send that threw an exception has no outcome
     }
 
     /** Checks, before an attempt starts, that the client has not disconnected. */
     private void lookForDeparture(Exchange exchange) {
         long now = now();
-        if (exchange.ended || now - exchange.lookedAt < LOOK_AFTER_MICROS) {
+        if (exchange.ended || now - exchange.lookedAt < CLIENT_CHECK_INTERVAL_MICROS) {
             return;
         }
         exchange.lookedAt = now;
-        if (!exchange.client.present()) {
-            exchange.departed();
+        if (!exchange.client.isConnected()) {
+            exchange.clientLeft();
         }
     }
 
     /** Follows one attempt. Its elapsed time is the host's share: it starts at the last byte of a request that is
         relayed, and ends at the first bytes of a response that is streamed. */
-    private final class Course implements HostPool.Ended {
+    private final class AttemptHandler implements HostPool.Ended {
 
         private final Exchange exchange;
         private final int number;
@@ -473,7 +473,7 @@
         private long begunAt;
         private LoadReport report;
 
-        Course(Exchange exchange, int number, String uid) {
+        AttemptHandler(Exchange exchange, int number, String uid) {
             this.exchange = exchange;
             this.number = number;
             this.uid = uid;
@@ -506,7 +506,7 @@
         }
 
         @Override
-        public void begun(FullHttpResponse answer, Relay rest) {
+        public void begun(FullHttpResponse answer, BodyRelay rest) {
             begunAt = now();
             report = report(answer);
             Gateway.this.begun(exchange, number, answer, rest);
@@ -558,7 +558,7 @@
             tally.add(exchange.className, Tally.Ended.REFUSED);
             log.add(EventLog.Event.REQUEST_REFUSED, "trace", exchange.trace, "class", exchange.className, "attempts",
                     exchange.attempts.size());
-            exchange.client.refused(retryAfter);
+            exchange.client.sendRefusal(retryAfter);
         }
     }
 
@@ -568,16 +568,16 @@
         if (exchange != null && !exchange.ended && !exchange.begun) {
             finish(exchange);
             failed(exchange, exchange.late ? "attempt_late" : "no_further_attempt");
-            exchange.client.failed(exchange.late);
+            exchange.client.sendFailure(exchange.late);
         }
     }
 
     @Override
     public void scheduleTimer(long at, String handle) {
         loop.schedule(() -> {
-            long begunAt = monitor.begin();
+            long begunAt = loopMonitor.begin();
             event(null, now -> module.timerFired(now, handle));
-            monitor.ended(LoopMonitor.Task.TIMER, begunAt);
+            loopMonitor.ended(LoopMonitor.Task.TIMER, begunAt);
         }, Math.max(1, at - now()), TimeUnit.MICROSECONDS);
     }
 
--- a/src/main/java/mastdrift/net/HostPool.java
+++ b/src/main/java/mastdrift/net/HostPool.java
@@ -85,7 +85,7 @@
 
         /** An answer that is too long to be held has begun; the rest is to be taken or abandoned. The end comes once all
             of it has been read, or won't be. */
-        default void begun(FullHttpResponse answer, Relay rest) {
+        default void begun(FullHttpResponse answer, BodyRelay rest) {
             rest.abandon();
         }
 
@@ -123,21 +123,21 @@
         idleMost = (long) (idle * IDLE_PART);
         bootstrap = new Bootstrap().group(loop).channelFactory(TcpChannel::new)
                 .option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.RECVBUF_ALLOCATOR, ClientSide.readSizes())
-                .option(ChannelOption.WRITE_BUFFER_WATER_MARK, ClientSide.WRITE_SIZES)
+                .option(ChannelOption.RECVBUF_ALLOCATOR, DownstreamServer.receiveBufferAllocator())
+                .option(ChannelOption.WRITE_BUFFER_WATER_MARK, DownstreamServer.WRITE_WATER_MARK)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, dialTimeout / 1000))
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
                         Answers answers = new Answers();
-                        Assembler assembler = new Assembler();
+                        MessageAggregator assembler = new MessageAggregator();
                         channel.pipeline().addLast(new HttpRequestEncoder(),
-                                new MonitoredReads(monitor, LoopMonitor.Task.UPSTREAM_READ), answers, assembler,
+                                new ReadTimingHandler(monitor, LoopMonitor.Task.UPSTREAM_READ), answers, assembler,
                                 new Connection(channel, answers, assembler));
                     }
                 });
         long sweep = Math.min(idleMost / 8 + 1, 1_000_000);
-        Periodic.every(loop, sweep, this::closeAged, log::fault);
+        PeriodicTask.schedule(loop, sweep, this::closeAged, log::fault);
     }
 
     /** Hosts that leave, are gone or have started anew lose their idle connections at once. */
@@ -194,7 +194,7 @@
     /** Likewise with a rest, null where there is none: then the timeout is for each part of the way, the connection, a
         host that takes nothing more, and the answer from the last byte on. Where the rest waited for the connection, the
         other parts have what is left of it. */
-    Attempt send(String uid, FullHttpRequest message, Relay rest, long timeout, Ended ended) {
+    Attempt send(String uid, FullHttpRequest message, BodyRelay rest, long timeout, Ended ended) {
         Attempt attempt = new Attempt(message, rest, timeout, ended);
         Peer peer = peers.get(uid);
         if (peer == null || timeout <= 0) {
@@ -298,7 +298,7 @@
     /** This gateway is about to end, and its successor opens connections already: both have one bound on them. */
     void retire() {
         idleMost = Math.min(idleMost, RETIRED_IDLE_MICROS);
-        Periodic.every(loop, RETIRED_SWEEP_MICROS, this::closeAged, log::fault);
+        PeriodicTask.schedule(loop, RETIRED_SWEEP_MICROS, this::closeAged, log::fault);
     }
 
     void closeIdle(String uid) {
@@ -317,7 +317,7 @@
     final class Attempt {
 
         private final FullHttpRequest message;
-        private final Relay rest;
+        private final BodyRelay rest;
         private long timeout;
         private final Ended ended;
         private long ends;
@@ -330,7 +330,7 @@
         private boolean written;
         private boolean over;
 
-        private Attempt(FullHttpRequest message, Relay rest, long timeout, Ended ended) {
+        private Attempt(FullHttpRequest message, BodyRelay rest, long timeout, Ended ended) {
             this.message = message;
             this.rest = rest;
             this.timeout = timeout;
@@ -355,7 +355,7 @@
         /** While its rest goes out: ends where the host takes nothing of what there is. */
         private void awaitMove() {
             long now = clock.getAsLong();
-            movedAt = rest.waits() ? movedAt : now;
+            movedAt = rest.hasUnwrittenData() ? movedAt : now;
             if (now - movedAt >= timeout) {
                 stop(Outcome.DIAL_FAILED);
             } else {
@@ -382,9 +382,9 @@
         private void stop(Outcome outcome) {
             if (!over) {
                 end(outcome, null);
-                Assembler assembler = channel.pipeline().get(Assembler.class);
+                MessageAggregator assembler = channel.pipeline().get(MessageAggregator.class);
                 if (assembler != null) {
-                    assembler.breakOff();  // or the close might pass for the end of an answer that is told by it
+                    assembler.abort();  // or the close might pass for the end of an answer that is told by it
                 }
                 Dialer.close(channel);
             }
@@ -443,12 +443,12 @@
     }
 
     /** One connection, which carries one attempt at a time. */
-    private final class Connection extends SimpleChannelInboundHandler<Assembler.Part> {
+    private final class Connection extends SimpleChannelInboundHandler<MessageAggregator.AggregatedMessage> {
 
         private final Channel channel;
         private final Answers answers;
-        private final Assembler assembler;
-        private Relay relay;  // of the answer that is being passed on
+        private final MessageAggregator assembler;
+        private BodyRelay relay;  // of the answer that is being passed on
         private Peer peer;
         private InetSocketAddress at;
         private long born;
@@ -459,7 +459,7 @@
         private int interim;
         private long idleSince;
 
-        Connection(Channel channel, Answers answers, Assembler assembler) {
+        Connection(Channel channel, Answers answers, MessageAggregator assembler) {
             this.channel = channel;
             this.answers = answers;
             this.assembler = assembler;
@@ -509,7 +509,7 @@
             channel.write(head);
             channel.writeAndFlush(new DefaultHttpContent(from.content()));
             mine.stopTimers();
-            if (mine.rest.full() || mine.rest.over()) {  // reading has paused: what is to come may be there since long
+            if (mine.rest.isFull() || mine.rest.isFinished()) {  // reading has paused: what is to come may be there since long
                 mine.timeout = mine.ends - clock.getAsLong();
             }
             mine.movedAt = clock.getAsLong();
@@ -527,20 +527,20 @@
         public void channelWritabilityChanged(ChannelHandlerContext context) {
             if (attempt != null && attempt.rest != null && !attempt.written) {
                 attempt.movedAt = clock.getAsLong();
-                attempt.rest.goOn();
+                attempt.rest.resumeWriting();
             }
         }
 
         /** The connection isn't offered again from here: behind the answer there may be more, which would be taken for
             the answer to the next request. */
         @Override
-        protected void channelRead0(ChannelHandlerContext context, Assembler.Part part) {
+        protected void channelRead0(ChannelHandlerContext context, MessageAggregator.AggregatedMessage part) {
             FullHttpResponse answer = (FullHttpResponse) part.message();
             try {
-                if (part.rest() == null) {
+                if (part.bodyRelay() == null) {
                     answered(answer);
                 } else {
-                    begun(answer, part.rest());
+                    begun(answer, part.bodyRelay());
                 }
             } finally {
                 answer.release();
@@ -579,7 +579,7 @@
 
         /** A long answer is passed on if it is one of a request that has been sent whole; what else there is to a long
             one says its status. */
-        private void begun(FullHttpResponse answer, Relay rest) {
+        private void begun(FullHttpResponse answer, BodyRelay rest) {
             Attempt mine = attempt;
             if (mine == null || mine.over || !mine.written || outcome(answer) != Outcome.DELIVERED) {
                 rest.abandon();
@@ -594,9 +594,9 @@
             relay = rest;
             knownLong = HttpUtil.isContentLengthSet(answer);
             keepAlive = HttpUtil.isKeepAlive(answer);
-            rest.onPace(() -> {
-                channel.config().setAutoRead(!rest.full());
-                if (!rest.full() && !mine.over) {
+            rest.onFullChange(() -> {
+                channel.config().setAutoRead(!rest.isFull());
+                if (!rest.isFull() && !mine.over) {
                     awaitMore(mine);  // the host's turn again, for as long as at first
                 }
             });
@@ -607,7 +607,7 @@
         /** Ends the attempt once its answer has been read to the end, and otherwise sees to it that this comes. */
         private void relayed() {
             Attempt mine = attempt;
-            if (relay.over()) {
+            if (relay.isFinished()) {
                 boolean whole = relay.whole();
                 attempt = null;
                 relay = null;
@@ -625,7 +625,7 @@
                 mine.stall.cancel(false);
             }
             mine.stall = loop.schedule(() -> {
-                if (relay != null && relay.full()) {  // the client's turn, not the host's
+                if (relay != null && relay.isFull()) {  // the client's turn, not the host's
                     awaitMore(mine);
                 } else {
                     mine.stop(Outcome.DROPPED);
@@ -639,7 +639,7 @@
             if (relay == null) {
                 return STALL_MICROS;
             }
-            boolean isLong = knownLong || assembler.bytes() > Assembler.HELD_BYTES_MOST;
+            boolean isLong = knownLong || assembler.bytes() > MessageAggregator.MAX_AGGREGATED_BYTES;
             return isLong ? RELAY_STALL_MICROS : Math.max(STALL_MICROS, mine.ends - clock.getAsLong());
         }
 
@@ -669,11 +669,11 @@
 
         /** Only on what has just come: an answer that has stopped may yet be had from another host. */
         private void passOnOpenEnded(ChannelHandlerContext context, Attempt mine) {
-            if (assembler.holdsOpenEnded()) {
+            if (assembler.hasPartialBodyOfUnknownLength()) {
                 long now = clock.getAsLong();
                 mine.firstAt = mine.firstAt == 0 ? now : mine.firstAt;
                 if (now - mine.firstAt >= OPEN_ENDED_HELD_MICROS) {
-                    assembler.relay(context.pipeline().context(assembler));
+                    assembler.startRelay(context.pipeline().context(assembler));
                 }
             }
         }
--- a/src/main/java/mastdrift/net/Main.java
+++ b/src/main/java/mastdrift/net/Main.java
@@ -60,18 +60,18 @@
         LibraryLog.LOGGER.setLevel(Level.OFF);
         // A connection whose socket options can't be set is still usable, and its client's request needs a response.
         System.setProperty("io.netty.bootstrap.closeOnSetOptionFailure", "false");
-        EventLoop loop = loop();
+        EventLoop loop = newEventLoop();
         Life life = new Life();
         try {
             Config config = config();
             ServerSocketChannel passed = config.passedSocket() ? passed() : null;
             Tally tally = config.tally();
             InetSocketAddress admin = config.admin() == null ? null
-                    : Admin.open(config.admin(), loop(), life, tally).address();
+                    : Admin.open(config.admin(), newEventLoop(), life, tally).address();
             boolean build = List.of(args).contains(REHEARSE);
             LogWriter log = LogWriter.to(FileDescriptor.out, () -> tally.add(Tally.Count.LOG_LINES_DROPPED));
             ClassPreloader.load();
-            Rehearsal.play(config, admin, build, loop(), log);
+            Rehearsal.play(config, admin, build, newEventLoop(), log);
             if (build) {
                 log.flush(LOG_FLUSH_MILLIS);
                 System.exit(0);  // a halt would not write the archive of classes
@@ -79,7 +79,7 @@
             if (admin != null) {
                 log.accept("operators may call " + admin);
             }
-            ClientSide clients = prepare(config, loop, System::nanoTime, life, tally, log);
+            DownstreamServer clients = createServer(config, loop, System::nanoTime, life, tally, log);
             reloader.complete(reloader(clients.gateway(), loop));
             // Before the first request can arrive: from then on an end without this would lose accepted requests.
             Runtime.getRuntime().addShutdownHook(new Thread(() -> stop(loop, clients, log)));
@@ -131,7 +131,7 @@
     private static Reloader reloader(Gateway gateway, EventLoop loop) {
         return new Reloader(() -> Config.discovery(System.getenv()), discovery -> {
             gateway.tally().add(Tally.Count.RELOADS_OK);
-            handOver(loop, () -> gateway.discoverAt(discovery), gateway::log);
+            handOver(loop, () -> gateway.setDiscoveryAddress(discovery), gateway::log);
         }, cause -> {
             gateway.tally().add(Tally.Count.RELOADS_FAILED);
             gateway.log("configuration not taken: " + cause);
@@ -149,17 +149,17 @@
     }
 
     /** Creates an event loop with a thread of its own. */
-    static EventLoop loop() {
+    static EventLoop newEventLoop() {
         return new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
     }
 
     /** The maximum of client connections, which is also that of connections to hosts. */
-    static int connectionsMost(int sockets) {
+    static int maxConnections(int sockets) {
         return Math.max(8, (Math.min(sockets, 1 << 16) - RESERVED_DESCRIPTORS) / 2);
     }
 
     /** The maximum of open requests. An eighth of the client connections is left to refuse further requests on. */
-    static int openMost(int connectionsMost) {
+    static int maxOpenRequests(int connectionsMost) {
         return connectionsMost - connectionsMost / 8;
     }
 
@@ -178,26 +178,26 @@
 
     /** Creates a gateway and its server, which does not listen yet, on the loop. {@code nanoTime} counts from an
         arbitrary origin. Throws IllegalArgumentException for invalid settings. */
-    static ClientSide prepare(Config config, EventLoop loop, LongSupplier nanoTime, Life life, Tally tally,
+    static DownstreamServer createServer(Config config, EventLoop loop, LongSupplier nanoTime, Life life, Tally tally,
             Consumer<String> out) {
-        int most = connectionsMost(config.sockets());
+        int most = maxConnections(config.sockets());
         return CompletableFuture.supplyAsync(() -> {
-            Gateway gateway = new Gateway(config, loop, nanoTime, new HeadroomBalancer(), tally, most, openMost(most), out);
+            Gateway gateway = new Gateway(config, loop, nanoTime, new HeadroomBalancer(), tally, most, maxOpenRequests(most), out);
             if (config.admin() != null) {
-                gateway.keepFigures();
+                gateway.startGaugeUpdates();
             }
-            return new ClientSide(loop, gateway, config.settings(), most, life);
+            return new DownstreamServer(loop, gateway, config.settings(), most, life);
         }, loop).join();
     }
 
     /** Waits for the first list from discovery, but no longer than the timeout, since discovery may be down. */
     static void awaitFirstList(Gateway gateway, long millis) {
-        gateway.heard().completeOnTimeout(null, millis, TimeUnit.MILLISECONDS).join();
+        gateway.firstListReceived().completeOnTimeout(null, millis, TimeUnit.MILLISECONDS).join();
     }
 
     /** Starts to accept clients, on the inherited socket if there is one. Throws IllegalArgumentException if that
         fails. */
-    static void listen(ClientSide clients, Config config, ServerSocketChannel passed, EventLoop loop, Life life,
+    static void listen(DownstreamServer clients, Config config, ServerSocketChannel passed, EventLoop loop, Life life,
             Consumer<String> out) {
         ChannelFuture listening = begin(clients, config, passed);
         for (int tries = 1; !listening.isSuccess() && tries < LISTEN_TRIES; tries++) {
@@ -210,11 +210,11 @@
                     + listening.cause().getMessage(), listening.cause());
         }
         out.accept("listening on " + clients.address());
-        life.started(() -> loop.execute(clients::drainOrNot));
+        life.started(() -> loop.execute(clients::lifecycleStateChanged));
     }
 
-    private static ChannelFuture begin(ClientSide clients, Config config, ServerSocketChannel passed) {
-        return (passed == null ? clients.listen(config.listen()) : clients.accept(passed)).awaitUninterruptibly();
+    private static ChannelFuture begin(DownstreamServer clients, Config config, ServerSocketChannel passed) {
+        return (passed == null ? clients.listen(config.listen()) : clients.listenOnInherited(passed)).awaitUninterruptibly();
     }
 
     private static void rest() {
@@ -227,7 +227,7 @@
 
     /** Shuts down gracefully and exits with status 0: by itself, the virtual machine would exit with the signal's
         status. */
-    private static void stop(EventLoop loop, ClientSide clients, LogWriter log) {
+    private static void stop(EventLoop loop, DownstreamServer clients, LogWriter log) {
         log.accept("stopping");
         CountDownLatch answered = new CountDownLatch(1);
         handOver(loop, () -> clients.stop(answered::countDown), log);
--- a/src/main/java/mastdrift/net/Assembler.java
+++ b/src/main/java/mastdrift/net/MessageAggregator.java
@@ -23,24 +23,24 @@
     whole; a longer one as soon as it is known to be longer, with a relay for the rest of its body. A message that can't
     be decoded, or whose body is too long, is passed on with a failed decoder result, or fails its relay if that has
     started. */
-final class Assembler extends SimpleChannelInboundHandler<HttpObject> {
+final class MessageAggregator extends SimpleChannelInboundHandler<HttpObject> {
 
     /** Bodies up to this size are kept whole, so that the request can be retried. */
-    static final int HELD_BYTES_MOST = 64 << 10;
+    static final int MAX_AGGREGATED_BYTES = 64 << 10;
     /** Longer bodies are rejected. */
-    static final long BODY_BYTES_MOST = 32L << 20;
+    static final long MAX_BODY_BYTES = 32L << 20;
     private static final int COMPONENTS_MOST = 1024;
 
     /** A message with the part of its body that has arrived, which the receiver releases; {@code bodyRelay} supplies
         the rest, and is null if the message is complete. */
-    record Part(FullHttpMessage message, Relay rest) { }
+    record AggregatedMessage(FullHttpMessage message, BodyRelay bodyRelay) { }
 
     /** CONTINUE_EXPECTED: the client waits for a 100 response before it sends the body of the request. */
-    enum Event { EXPECTS }
+    enum Event { CONTINUE_EXPECTED }
 
     private HttpMessage head;  // of the message that is being aggregated, null if there is none
     private ByteBuf held = Unpooled.EMPTY_BUFFER;
-    private Relay rest;
+    private BodyRelay rest;
     private long length;  // as declared by the head, negative if it is not
     private long bytes;
 
@@ -50,18 +50,18 @@
     }
 
     /** Whether a message has been read in part and not been passed on. */
-    boolean holds() {
+    boolean hasIncompleteMessage() {
         return head != null;
     }
 
     /** Whether the current message is of unknown length and a part of its body has arrived. */
-    boolean holdsOpenEnded() {
+    boolean hasPartialBodyOfUnknownLength() {
         return head != null && length < 0 && held.isReadable();
     }
 
     /** Passes on the part that has arrived, with a relay for the rest of the body. */
-    void relay(ChannelHandlerContext context) {
-        rest = new Relay();
+    void startRelay(ChannelHandlerContext context) {
+        rest = new BodyRelay();
         pass(context, null, rest);
     }
 
@@ -82,15 +82,15 @@
         Throwable fault = message.decoderResult().cause();
         length = fault != null || HttpUtil.isTransferEncodingChunked(message) ? -1
                 : HttpUtil.getContentLength(message, -1L);
-        if (fault != null || length > BODY_BYTES_MOST) {
+        if (fault != null || length > MAX_BODY_BYTES) {
             pass(context, fault != null ? fault : tooLong(), null);
             return;
         }
         if (message instanceof HttpRequest && HttpUtil.is100ContinueExpected(message)) {
-            context.fireUserEventTriggered(Event.EXPECTS);
+            context.fireUserEventTriggered(Event.CONTINUE_EXPECTED);
         }
-        if (message instanceof HttpRequest && length > HELD_BYTES_MOST) {
-            relay(context);
+        if (message instanceof HttpRequest && length > MAX_AGGREGATED_BYTES) {
+            startRelay(context);
         }
     }
 
@@ -101,7 +101,7 @@
     private void add(ChannelHandlerContext context, HttpContent content) {
         ByteBuf piece = content.content();
         bytes += piece.readableBytes();
-        Throwable fault = bytes > BODY_BYTES_MOST ? tooLong() : content.decoderResult().cause();
+        Throwable fault = bytes > MAX_BODY_BYTES ? tooLong() : content.decoderResult().cause();
         boolean last = content instanceof LastHttpContent;
         if (rest != null) {
             if (piece.isReadable() && fault == null) {
@@ -110,7 +110,7 @@
             if (fault != null) {
                 rest.fail();
             } else if (last) {
-                rest.end();
+                rest.complete();
             }
             if (fault != null || last) {
                 rest = null;
@@ -120,8 +120,8 @@
             hold(context, piece);
             if (fault != null || last) {
                 pass(context, fault, null);
-            } else if (held.readableBytes() > HELD_BYTES_MOST || length > HELD_BYTES_MOST && held.isReadable()) {
-                relay(context);
+            } else if (held.readableBytes() > MAX_AGGREGATED_BYTES || length > MAX_AGGREGATED_BYTES && held.isReadable()) {
+                startRelay(context);
             }
         }
     }
@@ -141,7 +141,7 @@
         ((CompositeByteBuf) held).addComponent(true, piece.retain());
     }
 
-    private void pass(ChannelHandlerContext context, Throwable fault, Relay relay) {
+    private void pass(ChannelHandlerContext context, Throwable fault, BodyRelay relay) {
         FullHttpMessage message = head instanceof HttpRequest request
                 ? new DefaultFullHttpRequest(request.protocolVersion(), request.method(), request.uri(), held,
                         request.headers(), EmptyHttpHeaders.INSTANCE)
@@ -153,11 +153,11 @@
         head = null;
         held = Unpooled.EMPTY_BUFFER;
         bytes = relay == null ? 0 : bytes;
-        context.fireChannelRead(new Part(message, relay));
+        context.fireChannelRead(new AggregatedMessage(message, relay));
     }
 
     /** Fails the current message, whatever arrives. */
-    void breakOff() {
+    void abort() {
         drop();
     }
 
--- a/src/main/java/mastdrift/net/Periodic.java
+++ b/src/main/java/mastdrift/net/PeriodicTask.java
@@ -6,13 +6,13 @@
 
 /** Runs tasks periodically on an event loop. The loop's own periodic tasks end at their first exception, such as a
     passing lack of memory: here the exception is reported and the task goes on. */
-final class Periodic {
+final class PeriodicTask {
 
-    private Periodic() { }
+    private PeriodicTask() { }
 
     /** Runs the task after the delay, and again after a delay from the end of each run. {@code onError} receives a
         message for each exception. */
-    static void every(EventLoop loop, long delay, Runnable task, Consumer<String> faults) {
+    static void schedule(EventLoop loop, long delay, Runnable task, Consumer<String> faults) {
         loop.scheduleWithFixedDelay(() -> {
             try {
                 task.run();
--- a/src/main/java/mastdrift/net/ReadAhead.java
+++ b/src/main/java/mastdrift/net/ReadAheadHandler.java
@@ -18,7 +18,7 @@
     makes the turn read that far. While the receiver pauses, reading goes on for as long as a disconnect is relevant,
     and the input is buffered here in bounded memory. The first handler of a pipeline; used on its loop's thread alone.
     */
-final class ReadAhead extends ChannelInboundHandlerAdapter {
+final class ReadAheadHandler extends ChannelInboundHandlerAdapter {
 
     // Once this much has been read, it is delivered before more is read.
     private static final int TURN_BYTES_MOST = 32 << 10;
@@ -31,22 +31,22 @@
     private static final int AHEAD_BYTES_MOST = 1 << 20;
 
     /** The memory that all connections of one gateway may use together. */
-    static final class Group {
+    static final class MemoryBudget {
 
         private final int most;
         private int held;  // capacity of the buffers of all connections
 
         /** While their receivers pause, connections buffer about {@code maxBytes} together. */
-        Group(int most) {
+        MemoryBudget(int most) {
             this.most = most;
         }
 
-        boolean empty() {
+        boolean isUnused() {
             return held == 0;
         }
     }
 
-    private final Group group;
+    private final MemoryBudget group;
     private final BooleanSupplier departureMatters;
     private final LongSupplier clock;
     private final Queue<ByteBuf> held = new ArrayDeque<>();
@@ -62,37 +62,37 @@
 
     /** The allocator for the channels of such connections: a turn of the loop reads until there is no more input, and
         so finds a disconnect that follows it. Both may have arrived if the loop was late. */
-    static RecvByteBufAllocator sizes() {
-        AdaptiveRecvByteBufAllocator sizes = ClientSide.readSizes();
+    static RecvByteBufAllocator receiveBufferAllocator() {
+        AdaptiveRecvByteBufAllocator sizes = DownstreamServer.receiveBufferAllocator();
         sizes.respectMaybeMoreData(false).maxMessagesPerRead(TURN_READS);
         return sizes;
     }
 
     /** {@code disconnectRelevant} is queried while the receiver pauses. The clock counts microseconds from an arbitrary
         origin. */
-    ReadAhead(Group group, BooleanSupplier departureMatters, LongSupplier clock) {
+    ReadAheadHandler(MemoryBudget group, BooleanSupplier departureMatters, LongSupplier clock) {
         this.group = group;
         this.departureMatters = departureMatters;
         this.clock = clock;
     }
 
     /** Whether input has been read that was not delivered yet. */
-    boolean holds() {
+    boolean hasBufferedData() {
         return !held.isEmpty();
     }
 
     /** Pauses or continues delivery. */
-    void pause(boolean pauses) {
+    void setPaused(boolean pauses) {
         paused = pauses;
         passOnSoon();
-        pace();
+        updateAutoRead();
     }
 
     /** From now on, input is read and discarded. */
-    void drop() {
+    void discardInput() {
         dropping = true;
         release();
-        pace();
+        updateAutoRead();
     }
 
     @Override
@@ -112,12 +112,12 @@
             return;
         }
         ByteBuf bytes = paused ? compact((ByteBuf) message) : (ByteBuf) message;
-        watched |= !(from.channel() instanceof TcpChannel connection && connection.readsAhead());
+        watched |= !(from.channel() instanceof TcpChannel connection && connection.isReadingUnprompted());
         reads++;
         readAt = clock.getAsLong();
         held.add(bytes);
         count(bytes.capacity());
-        pace();
+        updateAutoRead();
     }
 
     /** Copies input that leaves most of its buffer unused, since it may be held for long. */
@@ -178,13 +178,13 @@
         }
         if (passed) {
             context.fireChannelReadComplete();
-            pace();
+            updateAutoRead();
         }
     }
 
     /** Reads again if the loop was delayed since the input was read: the client may have disconnected meanwhile. */
     private void lookAgain() {
-        boolean longAgo = !held.isEmpty() && clock.getAsLong() - readAt > Gateway.LOOK_AFTER_MICROS;
+        boolean longAgo = !held.isEmpty() && clock.getAsLong() - readAt > Gateway.CLIENT_CHECK_INTERVAL_MICROS;
         if (longAgo && !paused && context.channel() instanceof TcpChannel connection) {
             connection.readNow();
         }
@@ -192,7 +192,7 @@
 
     /** Starts or stops reading, by the memory that is left. Also to be called when other connections may have freed
         some. */
-    void pace() {
+    void updateAutoRead() {
         boolean room = !paused ? size < TURN_BYTES_MOST
                 : size < AHEAD_BYTES_MOST && group.held < group.most && departureMatters.getAsBoolean();
         boolean reads = !rearming && (dropping || room);
@@ -205,17 +205,17 @@
     /** To be called periodically: reads if the selector has reported nothing since reading began, and makes it watch
         the connection again if there was input. The system may have lacked the memory to watch it, which the JDK does
         not report. */
-    void readUnwatched() {
-        if (watched || rearming || holds() || !(context.channel() instanceof TcpChannel connection)) {
+    void readUnlessNotified() {
+        if (watched || rearming || hasBufferedData() || !(context.channel() instanceof TcpChannel connection)) {
             return;
         }
         connection.readNow();
-        if (holds()) {
+        if (hasBufferedData()) {
             rearming = true;
-            pace();
+            updateAutoRead();
             connection.eventLoop().schedule(() -> {
                 rearming = false;
-                pace();
+                updateAutoRead();
             }, REARM_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
--- a/src/main/java/mastdrift/net/MonitoredReads.java
+++ b/src/main/java/mastdrift/net/ReadTimingHandler.java
@@ -4,13 +4,13 @@
 import io.netty.channel.ChannelInboundHandlerAdapter;
 
 /** Reports to the event loop's monitor how long each read takes to process: to decode it and all that this triggers. */
-final class MonitoredReads extends ChannelInboundHandlerAdapter {
+final class ReadTimingHandler extends ChannelInboundHandlerAdapter {
 
     private final LoopMonitor monitor;
     private final LoopMonitor.Task task;
 
     /** Reads are reported as {@code task}. */
-    MonitoredReads(LoopMonitor monitor, LoopMonitor.Task task) {
+    ReadTimingHandler(LoopMonitor monitor, LoopMonitor.Task task) {
         this.monitor = monitor;
         this.task = task;
     }
--- a/src/main/java/mastdrift/net/Rehearsal.java
+++ b/src/main/java/mastdrift/net/Rehearsal.java
@@ -44,7 +44,7 @@
     private static final int HOSTS = 8;
     private static final int FAILING_EVERY = 16;  // of so many requests one fails, so that other paths are met too
     private static final int LONG_EVERY = 20;  // and one is long, both ways
-    private static final int LONG_BODY_BYTES = Assembler.HELD_BYTES_MOST + (16 << 10);
+    private static final int LONG_BODY_BYTES = MessageAggregator.MAX_AGGREGATED_BYTES + (16 << 10);
     private static final int PATIENCE_MILLIS = 1000;
     private static final int FAILURES_MOST = 60;
 
@@ -70,7 +70,7 @@
             Config rehearsed = new Config(any, false, null, at, config.sockets(), new HostList(0, true, hosts),
                     config.settings());
             Life life = new Life();
-            ClientSide clients = CompletableFuture.supplyAsync(() -> new ClientSide(loop, new Gateway(rehearsed, loop,
+            DownstreamServer clients = CompletableFuture.supplyAsync(() -> new DownstreamServer(loop, new Gateway(rehearsed, loop,
                     System::nanoTime, new HeadroomBalancer(), rehearsed.tally(), HOSTS * 2, HOSTS, line -> { }), config.settings(), HOSTS, life), loop)
                     .join();
             clients.listen(any).sync();
--- a/src/main/java/mastdrift/net/Arrival.java
+++ b/src/main/java/mastdrift/net/RequestReadTimer.java
@@ -4,11 +4,11 @@
     may send its body at 64 kB a second, in pieces; a connection that never sends a whole request has to be closed
     within 3 s of connecting. Bytes that trickle in do not extend the limits, and time in which the gateway does not
     read does not count. All times are in microseconds on the gateway's clock. */
-final class Arrival {
+final class RequestReadTimer {
 
     /** Limit for the head of a request, from its first byte or, for the first request on a connection, from connecting.
         */
-    static final long HEAD_IN_MICROS = 2_600_000;
+    static final long HEAD_TIMEOUT_MICROS = 2_600_000;
     // Half of the rate at which clients send, 64 kB a second, is accepted; so is a pause of this length.
     private static final double BODY_MICROS_A_BYTE = 1e6 / 32_000;
     private static final long BODY_PAUSE_MICROS = 2_000_000;
@@ -18,24 +18,24 @@
     private long pausedAt;  // 0 while reading is not paused
 
     /** Whether a request has been read in part. */
-    boolean begun() {
+    boolean isRunning() {
         return since != 0;
     }
 
-    void begin(long now) {
+    void start(long now) {
         since = since == 0 ? now : since;
     }
 
-    void end() {
+    void stop() {
         since = 0;
     }
 
-    void read(long now) {
+    void dataReceived(long now) {
         readAt = now;
     }
 
     /** Pauses or continues the timer; false if that changes nothing. */
-    boolean pause(boolean paused, long now) {
+    boolean setPaused(boolean paused, long now) {
         if (paused == (pausedAt != 0)) {
             return false;
         }
@@ -49,10 +49,10 @@
 
     /** Whether the request that is being read, with {@code bodyBytes} of its body, is too slow. {@code connectedAt} is
         when the client connected, or 0 if an earlier request came on the connection. */
-    boolean overdue(long now, long came, long bytes) {
+    boolean isExpired(long now, long came, long bytes) {
         long taken = now - (came == 0 ? since : came);
-        boolean slow = taken > HEAD_IN_MICROS + bytes * BODY_MICROS_A_BYTE;
-        boolean stalled = taken > HEAD_IN_MICROS && now - readAt > BODY_PAUSE_MICROS;
-        return begun() && pausedAt == 0 && (slow || stalled);
+        boolean slow = taken > HEAD_TIMEOUT_MICROS + bytes * BODY_MICROS_A_BYTE;
+        boolean stalled = taken > HEAD_TIMEOUT_MICROS && now - readAt > BODY_PAUSE_MICROS;
+        return isRunning() && pausedAt == 0 && (slow || stalled);
     }
 }
--- a/src/main/java/mastdrift/net/TcpChannel.java
+++ b/src/main/java/mastdrift/net/TcpChannel.java
@@ -26,7 +26,7 @@
     // its client's request.
     private static final int ADOPT_TRIES = 100;
 
-    private long mayHaveWaited;
+    private long maxAcceptQueueMicros;
     private boolean readAhead;
 
     /** A channel that is not connected yet. */
@@ -38,7 +38,7 @@
 
     /** Creates the channel of an accepted connection; if that fails, closes the connection and throws ChannelException.
         */
-    static TcpChannel accepted(Channel parent, SocketChannel connection) throws IOException {
+    static TcpChannel adopt(Channel parent, SocketChannel connection) throws IOException {
         for (int tries = 1; true; tries++) {
             try {
                 return new TcpChannel(parent, connection);
@@ -52,13 +52,13 @@
     }
 
     /** Sets the longest time that the connection may have waited in the accept queue while accepting was paused. */
-    void mayHaveWaited(long span) {
-        mayHaveWaited = span;
+    void maxAcceptQueueMicros(long span) {
+        maxAcceptQueueMicros = span;
     }
 
     /** The longest time, in microseconds, that the connection may have waited in the accept queue. */
-    long mayHaveWaited() {
-        return mayHaveWaited;
+    long maxAcceptQueueMicros() {
+        return maxAcceptQueueMicros;
     }
 
     /** Reads what has arrived, including the end of the connection, without waiting for the event loop's next turn.
@@ -75,7 +75,7 @@
     }
 
     /** Whether the current read comes from {@link #readNow} rather than from the selector. */
-    boolean readsAhead() {
+    boolean isReadingUnprompted() {
         return readAhead;
     }
 
--- a/src/main/java/mastdrift/net/Listener.java
+++ b/src/main/java/mastdrift/net/TcpServerChannel.java
@@ -16,10 +16,10 @@
     which says nothing about the connections in the queue, accepting continues some milliseconds later; Netty would
     pause for a second. The system completes connections, and receives data on them, before the program accepts them:
     closing the socket would reset those that are still in the queue. Used on its event loop's thread. */
-final class Listener extends NioServerSocketChannel {
+final class TcpServerChannel extends NioServerSocketChannel {
 
     /** Pause after a failed accept call. */
-    static final long RETRY_MILLIS = 5;
+    static final long ACCEPT_RETRY_MILLIS = 5;
     private static final int TRIES_AT_ONCE = 8;
     // Failed accept calls after which the queue is given up when the socket is to be closed.
     private static final int LAST_TRIES = 100;
@@ -44,19 +44,19 @@
 
     /** A socket to be bound. {@code onFailure} receives the exception of each failed accept call; the clock counts
         microseconds from an arbitrary origin. */
-    Listener(LongSupplier clock, Consumer<Exception> failures) {
+    TcpServerChannel(LongSupplier clock, Consumer<Exception> failures) {
         this(clock, failures, begunAt -> { });
     }
 
     /** As above; {@code onAcceptEnded} receives, after each round of accept calls, the time at which it started. */
-    Listener(LongSupplier clock, Consumer<Exception> failures, LongConsumer accepted) {
+    TcpServerChannel(LongSupplier clock, Consumer<Exception> failures, LongConsumer accepted) {
         this.clock = clock;
         this.failures = failures;
         this.accepted = accepted;
     }
 
     /** A socket that was bound by another process, which may still hold it. */
-    Listener(ServerSocketChannel passed, LongSupplier clock, Consumer<Exception> failures, LongConsumer accepted) {
+    TcpServerChannel(ServerSocketChannel passed, LongSupplier clock, Consumer<Exception> failures, LongConsumer accepted) {
         super(passed);
         this.clock = clock;
         this.failures = failures;
@@ -64,7 +64,7 @@
     }
 
     /** Starts or stops accepting connections. */
-    void accept(boolean accepts) {
+    void setAccepting(boolean accepts) {
         wanted = accepts;
         apply();
     }
@@ -102,7 +102,7 @@
 
     /** To be called periodically: accepts from the queue if the selector has reported nothing since accepting began.
         The system may have lacked the memory to watch this socket, which the JDK does not report. */
-    void lookUnwatched() {
+    void pollUnlessNotified() {
         long now = clock.getAsLong();
         if (!watched && accepts() && isActive()) {
             boolean wasBlocked = blocked;
@@ -175,8 +175,8 @@
             return 0;
         }
         draining = true;
-        TcpChannel connection = TcpChannel.accepted(this, accepted);
-        connection.mayHaveWaited(blocked ? clock.getAsLong() - blockedSince : 0);
+        TcpChannel connection = TcpChannel.adopt(this, accepted);
+        connection.maxAcceptQueueMicros(blocked ? clock.getAsLong() - blockedSince : 0);
         into.add(connection);
         return 1;
     }
@@ -190,15 +190,15 @@
         eventLoop().schedule(() -> {
             resting = false;
             apply();
-        }, RETRY_MILLIS, TimeUnit.MILLISECONDS);
+        }, ACCEPT_RETRY_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     /** Accepts the connections in the queue, up to {@code maxConnections}, and closes the socket after the last. */
-    void closeBehindTheLast(int most) {
-        closeBehindTheLast(most, LAST_TRIES);
+    void drainAndClose(int most) {
+        drainAndClose(most, LAST_TRIES);
     }
 
-    private void closeBehindTheLast(int most, int tries) {
+    private void drainAndClose(int most, int tries) {
         if (!isOpen()) {
             return;
         }
@@ -216,7 +216,7 @@
         pipeline().fireChannelReadComplete();
         int left = most - accepted.size();
         if (failed && left > 0 && tries > 1) {
-            eventLoop().schedule(() -> closeBehindTheLast(left, tries - 1), RETRY_MILLIS, TimeUnit.MILLISECONDS);
+            eventLoop().schedule(() -> drainAndClose(left, tries - 1), ACCEPT_RETRY_MILLIS, TimeUnit.MILLISECONDS);
         } else {
             close();
         }
--- a/src/test/java/mastdrift/net/AdminTest.java
+++ b/src/test/java/mastdrift/net/AdminTest.java
@@ -2,11 +2,11 @@
 
 import static mastdrift.net.Loopback.SETTINGS;
 import static mastdrift.net.Loopback.await;
-import static mastdrift.net.Loopback.discovery;
-import static mastdrift.net.Loopback.entry;
+import static mastdrift.net.Loopback.discoveryServer;
+import static mastdrift.net.Loopback.hostEntry;
 import static mastdrift.net.Loopback.environment;
-import static mastdrift.net.Loopback.host;
-import static mastdrift.net.Loopback.list;
+import static mastdrift.net.Loopback.hostResponding;
+import static mastdrift.net.Loopback.hostList;
 import static mastdrift.net.Loopback.post;
 import static mastdrift.net.Loopback.read;
 import static mastdrift.net.Loopback.write;
@@ -28,7 +28,7 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import mastdrift.net.Loopback.Message;
-import mastdrift.net.Loopback.Node;
+import mastdrift.net.Loopback.GatewayNode;
 import mastdrift.net.Loopback.Server;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -44,21 +44,21 @@
     private Map<String, String> called(Server discovery, Server... hosts) throws Exception {
         List<String> entries = new ArrayList<>();
         for (Server host : hosts) {
-            entries.add(entry("s" + entries.size(), host.address(), "a", "in_service"));
+            entries.add(hostEntry("s" + entries.size(), host.address(), "a", "in_service"));
         }
         Map<String, String> environment = new HashMap<>(environment(folder, discovery,
-                list(1, true, entries.toArray(new String[0])), SETTINGS));
+                hostList(1, true, entries.toArray(new String[0])), SETTINGS));
         environment.put("NODE_ADMIN", "127.0.0.1:0");
         return environment;
     }
 
-    private static String figure(Node node, String name) throws Exception {
-        return node.call("GET /status/metrics").text().lines().filter(line -> line.startsWith("edge_node_" + name + " "))
+    private static String figure(GatewayNode node, String name) throws Exception {
+        return node.callAdmin("GET /status/metrics").bodyText().lines().filter(line -> line.startsWith("edge_node_" + name + " "))
                 .map(line -> line.substring(line.lastIndexOf(' ') + 1)).findFirst().orElse("not told");
     }
 
     /** A count follows the answer within half a second: asked for until it is there. */
-    private static void awaitFigure(Node node, String name, String value) throws Exception {
+    private static void awaitFigure(GatewayNode node, String name, String value) throws Exception {
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(Loopback.WAIT_SECONDS);
         for (String got = figure(node, name); !got.equals(value); got = figure(node, name)) {
             assertTrue(System.nanoTime() < until, name + " is " + got + ", not " + value);
@@ -69,8 +69,8 @@
     @CsvSource({"GET /status, 200", "GET /status/metrics?x=1, 200", "POST /active, 200", "GET /elsewhere, 404",
         "POST /status, 405", "GET /standby, 405", "nonsense, 400"})
     void eachCallHasItsAnswer(String call, int status) throws Exception {
-        try (Server discovery = discovery(); Node node = new Node(called(discovery))) {
-            Message answer = node.call(call);
+        try (Server discovery = discoveryServer(); GatewayNode node = new GatewayNode(called(discovery))) {
+            Message answer = node.callAdmin(call);
             assertEquals(status, answer.status());
             assertEquals("close", answer.header("Connection"));
         }
@@ -79,8 +79,8 @@
     /** Guards against calls that wait for the start's end, or for the clients' loop. */
     @Test
     void callsAreAnsweredBeforeTheStartAndWhileTheGatewayIsBusy() throws Exception {
-        try (Server discovery = discovery()) {
-            EventLoop loop = Main.loop();
+        try (Server discovery = discoveryServer()) {
+            EventLoop loop = Main.newEventLoop();
             Life life = new Life();
             Config config = Config.read(called(discovery));
             Admin admin = Admin.open(config.admin(), loop, life, config.tally());
@@ -91,7 +91,7 @@
                 loop.parent().shutdownGracefully(0, 0, TimeUnit.SECONDS).syncUninterruptibly();
             }
             CountDownLatch busy = new CountDownLatch(1);
-            try (Node node = new Node(called(discovery))) {
+            try (GatewayNode node = new GatewayNode(called(discovery))) {
                 node.loop.execute(() -> {
                     try {
                         busy.await();
@@ -99,7 +99,7 @@
                         Thread.currentThread().interrupt();
                     }
                 });
-                assertEquals(200, node.call("GET /status").status());
+                assertEquals(200, node.callAdmin("GET /status").status());
                 assertEquals("0", figure(node, "in_flight"));
                 busy.countDown();
             }
@@ -109,7 +109,7 @@
     /** Guards against callers that say nothing or half a call: each gets a close, and a flood keeps no proper one out. */
     @Test
     void silentCallersAreClosedAndDoNotKeepOthersOut() throws Exception {
-        try (Server discovery = discovery(); Node node = new Node(called(discovery))) {
+        try (Server discovery = discoveryServer(); GatewayNode node = new GatewayNode(called(discovery))) {
             List<Socket> silent = new ArrayList<>();
             for (int i = 0; i < 3 * Admin.CONNECTIONS_MOST; i++) {
                 Socket caller = new Socket(node.admin.address().getAddress(), node.admin.address().getPort());
@@ -117,7 +117,7 @@
                 write(caller, i % 2 == 0 ? "" : "GET /sta");
                 silent.add(caller);
             }
-            assertEquals(200, node.call("GET /status").status());
+            assertEquals(200, node.callAdmin("GET /status").status());
             for (Socket caller : silent) {
                 assertNull(Loopback.read(caller));
                 caller.close();
@@ -127,12 +127,12 @@
 
     @Test
     void figuresTellWhatClientsAndHostsSaw() throws Exception {
-        try (Server discovery = discovery(); Server one = host("one"); Node node = new Node(called(discovery, one))) {
+        try (Server discovery = discoveryServer(); Server one = hostResponding("one"); GatewayNode node = new GatewayNode(called(discovery, one))) {
             assertEquals("0", figure(node, "requests_total{class=\"once\",outcome=\"failed\"}"));
             assertEquals("0", figure(node, "attempts_total"));
             assertEquals("1", figure(node, "hosts_known"));
-            assertEquals(200, node.ask(read(20_000)).status());
-            assertEquals(200, node.ask(post("once", 20_000, "body")).status());
+            assertEquals(200, node.sendRequest(read(20_000)).status());
+            assertEquals(200, node.sendRequest(post("once", 20_000, "body")).status());
             awaitFigure(node, "requests_total{class=\"read\",outcome=\"served\"}", "1");
             awaitFigure(node, "requests_total{class=\"once\",outcome=\"served\"}", "1");
             awaitFigure(node, "attempts_total", "2");
@@ -143,31 +143,31 @@
     /** Guards against figures that leave out what no host was asked for, or what the client didn't wait for. */
     @Test
     void refusedAndOpenRequestsAreCounted() throws Exception {
-        try (Server discovery = discovery(); Server silent = new Server(message -> { });
-                Node node = new Node(called(discovery, silent))) {
+        try (Server discovery = discoveryServer(); Server silent = new Server(message -> { });
+                GatewayNode node = new GatewayNode(called(discovery, silent))) {
             Socket open = node.connect();
             write(open, read(60_000));
             await(silent.received);
             awaitFigure(node, "in_flight", "1");
-            assertEquals(504, node.ask(read(1).replace("9b1f", "9b20")).status());
+            assertEquals(504, node.sendRequest(read(1).replace("9b1f", "9b20")).status());
             awaitFigure(node, "requests_total{class=\"read\",outcome=\"failed\"}", "1");
             open.close();
             awaitFigure(node, "in_flight", "0");
             assertEquals("0", figure(node, "requests_total{class=\"read\",outcome=\"served\"}"));
         }
-        try (Server discovery = discovery(); Node node = new Node(called(discovery))) {
-            assertEquals(503, node.ask(read(20_000)).status());
+        try (Server discovery = discoveryServer(); GatewayNode node = new GatewayNode(called(discovery))) {
+            assertEquals(503, node.sendRequest(read(20_000)).status());
             awaitFigure(node, "requests_total{class=\"read\",outcome=\"refused\"}", "1");
         }
     }
 
     @Test
     void listedHostsThatGetNothingAreExcluded() throws Exception {
-        try (Server discovery = discovery(); Server one = host("one"); Node node = new Node(called(discovery, one))) {
+        try (Server discovery = discoveryServer(); Server one = hostResponding("one"); GatewayNode node = new GatewayNode(called(discovery, one))) {
             awaitFigure(node, "hosts_excluded", "0");
             Message watch = await(discovery.received);
-            Loopback.tell(watch.socket(), list(2, false, entry("s0", one.address(), "a", "terminating"),
-                    entry("s1", one.address(), "a", "in_service")));
+            Loopback.sendListLine(watch.socket(), hostList(2, false, hostEntry("s0", one.address(), "a", "terminating"),
+                    hostEntry("s1", one.address(), "a", "in_service")));
             awaitFigure(node, "hosts_known", "2");
             awaitFigure(node, "hosts_excluded", "1");
         }
@@ -177,15 +177,15 @@
         asks on is closed, and the way back needs no restart. */
     @Test
     void aDrainedGatewayServesOpenConnectionsUntilTheyAreClosedAndComesBack() throws Exception {
-        try (Server discovery = discovery(); Server one = host("one"); Node node = new Node(called(discovery, one))) {
+        try (Server discovery = discoveryServer(); Server one = hostResponding("one"); GatewayNode node = new GatewayNode(called(discovery, one))) {
             Socket used = node.connect();
             Socket idle = node.connect();
             write(idle, read(20_000).replace("9b1f", "9b20"));
             assertEquals(200, Loopback.read(idle).status());
-            assertEquals(200, node.call("POST /standby").status());
-            assertEquals(200, node.call("POST /standby").status());
-            assertEquals(503, node.call("GET /status").status());
-            assertEquals(503, node.ask("GET /ready HTTP/1.1\r\nHost: s\r\n\r\n").status());
+            assertEquals(200, node.callAdmin("POST /standby").status());
+            assertEquals(200, node.callAdmin("POST /standby").status());
+            assertEquals(503, node.callAdmin("GET /status").status());
+            assertEquals(503, node.sendRequest("GET /ready HTTP/1.1\r\nHost: s\r\n\r\n").status());
             Message last;
             do {
                 write(used, read(20_000));
@@ -194,9 +194,9 @@
             } while (!"close".equalsIgnoreCase(last.header("Connection")));
             assertNull(Loopback.read(used));
             assertNull(Loopback.read(idle));
-            assertEquals(200, node.ask(read(20_000)).status());
-            assertEquals(200, node.call("POST /active").status());
-            assertEquals(200, node.call("GET /status").status());
+            assertEquals(200, node.sendRequest(read(20_000)).status());
+            assertEquals(200, node.callAdmin("POST /active").status());
+            assertEquals(200, node.callAdmin("GET /status").status());
             Socket back = node.connect();
             for (int i = 0; i < 2; i++) {
                 write(back, "GET /ready HTTP/1.1\r\nHost: s\r\n\r\n");
@@ -226,11 +226,11 @@
 
     @Test
     void anAddressThatIsTakenEndsTheStartWithOneMessage() throws Exception {
-        try (Server discovery = discovery(); ServerSocket taken = new ServerSocket(0, 1,
+        try (Server discovery = discoveryServer(); ServerSocket taken = new ServerSocket(0, 1,
                 InetAddress.getByName("127.0.0.1"))) {
             InetSocketAddress at = (InetSocketAddress) taken.getLocalSocketAddress();
             Config config = Config.read(called(discovery));
-            EventLoop loop = Main.loop();
+            EventLoop loop = Main.newEventLoop();
             try {
                 IllegalArgumentException fault = assertThrows(IllegalArgumentException.class,
                         () -> Admin.open(at, loop, new Life(), config.tally()));
--- a/src/test/java/mastdrift/net/ConnectionLimitTest.java
+++ b/src/test/java/mastdrift/net/ConnectionLimitTest.java
@@ -19,11 +19,11 @@
 
     private static final Duration ENOUGH = Duration.ofSeconds(Loopback.WAIT_SECONDS);
 
-    private final EventLoop loop = Main.loop();
+    private final EventLoop loop = Main.newEventLoop();
     private final List<Boolean> accepts = new ArrayList<>();
     private final ConnectionLimit<Place> limit = new ConnectionLimit<>(loop, 2, accepts::add, () -> { });
 
-    private final class Place implements ConnectionLimit.Held {
+    private final class Place implements ConnectionLimit.Evictable {
 
         private final boolean active;
         private boolean sending;
@@ -33,31 +33,31 @@
 
         Place(boolean active) {
             this.active = active;
-            limit.came(this);
+            limit.add(this);
         }
 
         @Override
-        public boolean sending() {
+        public boolean isSendingRequest() {
             return sending || unread;
         }
 
         @Override
-        public boolean unread() {
+        public boolean hasUnprocessedInput() {
             return unread;
         }
 
         @Override
-        public void end() {
+        public void closeGracefully() {
             if (active) {
                 ended = true;
-                limit.lingers(this);
+                limit.startedLingering(this);
             }
         }
 
         @Override
         public void close() {
             closed = true;
-            loop.execute(() -> limit.gone(this));  // after this turn of the loop, as channels report their close
+            loop.execute(() -> limit.remove(this));  // after this turn of the loop, as channels report their close
         }
     }
 
@@ -106,8 +106,8 @@
     void whoHasAskedBeforeMakesRoomForTheNewcomer() throws Exception {
         List<Place> rested = loop.submit(() -> List.of(new Place(true), new Place(true))).get();
         Place newcomer = loop.submit(() -> {
-            rested.forEach(limit::asked);
-            rested.forEach(limit::rests);
+            rested.forEach(limit::requestReceived);
+            rested.forEach(limit::becameIdle);
             return new Place(true);
         }).get();
         until(() -> rested.get(0).ended || newcomer.ended);
--- a/src/test/java/mastdrift/net/DialerTest.java
+++ b/src/test/java/mastdrift/net/DialerTest.java
@@ -25,7 +25,7 @@
     private record Told(Throwable cause, boolean onLoop) { }
 
     private static Told dial(io.netty.channel.ChannelFactory<Channel> channels, InetSocketAddress at) throws Exception {
-        EventLoop loop = Main.loop();
+        EventLoop loop = Main.newEventLoop();
         try {
             Bootstrap bootstrap = new Bootstrap().group(loop).channelFactory(channels)
                     .handler(new ChannelInboundHandlerAdapter());
--- a/src/test/java/mastdrift/net/EndingsTest.java
+++ b/src/test/java/mastdrift/net/EndingsTest.java
@@ -1,15 +1,15 @@
 package mastdrift.net;
 
 import static mastdrift.net.Loopback.SETTINGS;
-import static mastdrift.net.Loopback.answer;
+import static mastdrift.net.Loopback.response;
 import static mastdrift.net.Loopback.await;
-import static mastdrift.net.Loopback.discovery;
-import static mastdrift.net.Loopback.entry;
+import static mastdrift.net.Loopback.discoveryServer;
+import static mastdrift.net.Loopback.hostEntry;
 import static mastdrift.net.Loopback.environment;
-import static mastdrift.net.Loopback.list;
+import static mastdrift.net.Loopback.hostList;
 import static mastdrift.net.Loopback.post;
 import static mastdrift.net.Loopback.read;
-import static mastdrift.net.Loopback.tell;
+import static mastdrift.net.Loopback.sendListLine;
 import static mastdrift.net.Loopback.write;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -30,9 +30,9 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
-import mastdrift.net.Loopback.LateHost;
+import mastdrift.net.Loopback.FullBacklogHost;
 import mastdrift.net.Loopback.Message;
-import mastdrift.net.Loopback.Node;
+import mastdrift.net.Loopback.GatewayNode;
 import mastdrift.net.Loopback.Server;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -47,11 +47,11 @@
     private Path folder;
 
     private static String up(String uid, String address) {
-        return entry(uid, address, "a", "in_service");
+        return hostEntry(uid, address, "a", "in_service");
     }
 
-    private Node node(Server discovery, String settings, String... entries) throws Exception {
-        return new Node(environment(folder, discovery, list(1, true, entries), settings));
+    private GatewayNode node(Server discovery, String settings, String... entries) throws Exception {
+        return new GatewayNode(environment(folder, discovery, hostList(1, true, entries), settings));
     }
 
     private static void until(BooleanSupplier holds) throws InterruptedException {
@@ -62,15 +62,15 @@
         }
     }
 
-    private static void untilLogged(Node node, String text) throws InterruptedException {
+    private static void untilLogged(GatewayNode node, String text) throws InterruptedException {
         until(() -> node.log.toString(StandardCharsets.UTF_8).contains(text));
     }
 
     /** Waits until all exchanges have ended and no resources are held for them. */
-    private static void assertNothingIsOwed(Node node) throws Exception {
+    private static void assertNothingIsOwed(GatewayNode node) throws Exception {
         until(() -> {
             try {
-                return node.loop.submit(() -> node.clients.gateway().owesNothing() && node.clients.holdsNothing()).get();
+                return node.loop.submit(() -> node.server.gateway().isIdle() && node.server.hasNoReadAheadData()).get();
             } catch (Exception e) {
                 throw new AssertionError(e);
             }
@@ -82,17 +82,17 @@
     @Test
     void aFurtherAttemptIsNotWrittenOnceItsWindowIsOver() throws Exception {
         String settings = SETTINGS.replace("\"dedup_window\":60000000", "\"dedup_window\":5000000");
-        try (Server discovery = discovery(); Server first = new Server(message -> { }); LateHost late = new LateHost();
-                Node node = node(discovery, settings, up("s1", first.address()))) {
+        try (Server discovery = discoveryServer(); Server first = new Server(message -> { }); FullBacklogHost late = new FullBacklogHost();
+                GatewayNode node = node(discovery, settings, up("s1", first.address()))) {
             Socket client = node.connect();
             write(client, post("start", 20_000, "x"));
             Message taken = await(first.received);
-            tell(await(discovery.received).socket(), list(2, false, up("s2", late.address())));
+            sendListLine(await(discovery.received).socket(), hostList(2, false, up("s2", late.address())));
             untilLogged(node, "list 2");
             taken.socket().close();  // the request may have run
             until(() -> counted(node, Tally.Count.HOST_DIALS) == 2);
-            node.jump(5_000);
-            assertEquals(-1, late.open().getInputStream().read());
+            node.advanceClock(5_000);
+            assertEquals(-1, late.acceptConnections().getInputStream().read());
             assertEquals(502, Loopback.read(client).status());
             assertNothingIsOwed(node);
         }
@@ -105,8 +105,8 @@
     void whatAClientLeftBehindIsNotSentOn(boolean cancel, boolean reset) throws Exception {
         String settings = SETTINGS.replace("\"cancel\":true", "\"cancel\":" + cancel)
                 .replace("\"dial_timeout\":20000000", "\"dial_timeout\":600000000");
-        try (Server discovery = discovery(); LateHost late = new LateHost();
-                Node node = node(discovery, settings, up("s1", late.address()))) {
+        try (Server discovery = discoveryServer(); FullBacklogHost late = new FullBacklogHost();
+                GatewayNode node = node(discovery, settings, up("s1", late.address()))) {
             Socket client = node.connect();
             write(client, read(60_000));
             until(() -> counted(node, Tally.Count.HOST_DIALS) == 1);
@@ -126,8 +126,8 @@
     @CsvSource({"100000, true", "100000, false", "600000, true", "600000, false"})
     void whatAClientLeftBehindIsNotSentOnThoughReadingPauses(int length, boolean reset) throws Exception {
         String settings = SETTINGS.replace("\"dial_timeout\":20000000", "\"dial_timeout\":600000000");
-        try (Server discovery = discovery(); LateHost late = new LateHost();
-                Node node = node(discovery, settings, up("s1", late.address()))) {
+        try (Server discovery = discoveryServer(); FullBacklogHost late = new FullBacklogHost();
+                GatewayNode node = node(discovery, settings, up("s1", late.address()))) {
             Socket client = node.connect();
             write(client, post("start", 60_000, "x".repeat(length)).substring(0, length));  // without its end
             until(() -> counted(node, Tally.Count.HOST_DIALS) == 1);
@@ -143,8 +143,8 @@
 
     @Test
     void whatWaitsBehindARequestThatIsOutGoesWithItsClient() throws Exception {
-        try (Server discovery = discovery(); Server host = new Server(message -> { });
-                Node node = node(discovery, SETTINGS, up("s1", host.address()))) {
+        try (Server discovery = discoveryServer(); Server host = new Server(message -> { });
+                GatewayNode node = node(discovery, SETTINGS, up("s1", host.address()))) {
             Socket client = node.connect();
             write(client, read(20_000) + read(20_000).replace("9b1f", "9b20"));
             await(host.received);
@@ -161,8 +161,8 @@
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void whoLeavesBehindManyRequestsIsMissedWhileTheFirstIsOut(boolean reset) throws Exception {
-        try (Server discovery = discovery(); Server host = new Server(message -> { });
-                Node node = node(discovery, SETTINGS, up("s1", host.address()))) {
+        try (Server discovery = discoveryServer(); Server host = new Server(message -> { });
+                GatewayNode node = node(discovery, SETTINGS, up("s1", host.address()))) {
             Socket client = node.connect();
             write(client, read(20_000));
             await(host.received);
@@ -186,7 +186,7 @@
         void happens() throws Exception;
     }
 
-    private static void whileStill(Node node, Outside outside) throws Exception {
+    private static void whileStill(GatewayNode node, Outside outside) throws Exception {
         CountDownLatch held = new CountDownLatch(1);
         CountDownLatch goOn = new CountDownLatch(1);
         node.loop.execute(() -> {
@@ -210,8 +210,8 @@
     @ParameterizedTest
     @CsvSource({"1, true", "1, false", "3, true", "3, false"})
     void whoHaveGoneByTheTimeTheirRequestsAreReadAreNotSentOn(int most, boolean reset) throws Exception {
-        try (Server discovery = discovery(); Server host = Loopback.host("one");
-                Node node = node(discovery, SETTINGS, up("s1", host.address()))) {
+        try (Server discovery = discoveryServer(); Server host = Loopback.hostResponding("one");
+                GatewayNode node = node(discovery, SETTINGS, up("s1", host.address()))) {
             List<Socket> clients = new ArrayList<>();
             for (int i = 0; i < most; i++) {
                 clients.add(node.connect());
@@ -227,18 +227,18 @@
                     client.close();
                 }
             });
-            assertEquals(200, node.ask("GET /ready HTTP/1.1\r\n\r\n").status());  // all that waited in the sockets has been read
+            assertEquals(200, node.sendRequest("GET /ready HTTP/1.1\r\n\r\n").status());  // all that waited in the sockets has been read
             assertNothingIsOwed(node);
             assertEquals(0, counted(node, Tally.Count.TAKEN));
             assertEquals(0, host.received.size());
         }
     }
 
-    private Node wideNode(Server discovery, String... entries) throws Exception {
-        Map<String, String> environment = environment(folder, discovery, list(1, true, entries), SETTINGS);
+    private GatewayNode wideNode(Server discovery, String... entries) throws Exception {
+        Map<String, String> environment = environment(folder, discovery, hostList(1, true, entries), SETTINGS);
         Path file = Path.of(environment.get("NODE_CONFIG"));
         Files.writeString(file, Files.readString(file).replace("\"sockets\":64", "\"sockets\":256"));
-        return new Node(environment);
+        return new GatewayNode(environment);
     }
 
     /** Guards against resetting connections that wait in the accept queue, with requests on them, when the listening
@@ -246,20 +246,20 @@
     @Test
     void aStopTakesWhatTheSystemHasAccepted() throws Exception {
         CountDownLatch stopped = new CountDownLatch(1);
-        try (Server discovery = discovery(); Server host = Loopback.host("one");
-                Node node = wideNode(discovery, up("s1", host.address()))) {
+        try (Server discovery = discoveryServer(); Server host = Loopback.hostResponding("one");
+                GatewayNode node = wideNode(discovery, up("s1", host.address()))) {
             List<Socket> clients = new ArrayList<>();
-            node.loop.submit(() -> node.clients.stop(stopped::countDown)).sync();
+            node.loop.submit(() -> node.server.stop(stopped::countDown)).sync();
             whileStill(node, () -> {
                 for (int i = 0; i < 40; i++) {  // more than are accepted in a turn of the loop
                     Socket client = node.connect();
                     write(client, read(20_000).replace("9b1f", "a" + i));
                     clients.add(client);
                 }
-                Thread.sleep(ClientSide.STOP_ACCEPTING_MILLIS);  // the listening socket is due to be closed now
+                Thread.sleep(DownstreamServer.SHUTDOWN_ACCEPT_MILLIS);  // the listening socket is due to be closed now
             });
             for (Socket client : clients) {
-                assertEquals("one", Loopback.read(client).text());
+                assertEquals("one", Loopback.read(client).bodyText());
             }
             assertTrue(stopped.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS));
             assertNothingIsOwed(node);
@@ -270,8 +270,8 @@
         read. */
     @Test
     void whoHasJustComeMakesNoRoomUnheard() throws Exception {
-        try (Server discovery = discovery(); Server host = Loopback.host("one");
-                Node node = node(discovery, SETTINGS, up("s1", host.address()))) {
+        try (Server discovery = discoveryServer(); Server host = Loopback.hostResponding("one");
+                GatewayNode node = node(discovery, SETTINGS, up("s1", host.address()))) {
             List<Socket> clients = new ArrayList<>();
             whileStill(node, () -> {
                 for (int i = 0; i < 14; i++) {  // 64 descriptors allow 8 client connections
@@ -292,8 +292,8 @@
         connection with an open request is closed. */
     @Test
     void atTheBoundWhoComesIsAnswered() throws Exception {
-        try (Server discovery = discovery(); Server host = new Server(message -> { });
-                Node node = node(discovery, SETTINGS, up("s1", host.address()))) {
+        try (Server discovery = discoveryServer(); Server host = new Server(message -> { });
+                GatewayNode node = node(discovery, SETTINGS, up("s1", host.address()))) {
             List<Socket> busy = new ArrayList<>();
             List<Message> out = new ArrayList<>();
             for (int i = 0; i < 7; i++) {  // 7 of 8 connections may have open requests
@@ -307,10 +307,10 @@
                 assertEquals(503, Loopback.read(client).status());
             }
             for (Message taken : out) {
-                write(taken.socket(), answer("200 OK", "one"));
+                write(taken.socket(), response("200 OK", "one"));
             }
             for (Socket client : busy) {
-                assertEquals("one", Loopback.read(client).text());
+                assertEquals("one", Loopback.read(client).bodyText());
             }
             assertNothingIsOwed(node);
         }
@@ -320,12 +320,12 @@
     @Test
     void aStopEndsWhoIsStillSendingInOrder() throws Exception {
         CountDownLatch stopped = new CountDownLatch(1);
-        try (Server discovery = discovery(); Server host = Loopback.host("one");
-                Node node = node(discovery, SETTINGS.replace("\"deadline\":60000000", "\"deadline\":1000000"),
+        try (Server discovery = discoveryServer(); Server host = Loopback.hostResponding("one");
+                GatewayNode node = node(discovery, SETTINGS.replace("\"deadline\":60000000", "\"deadline\":1000000"),
                         up("s1", host.address()))) {
             Socket client = node.connect();
             write(client, post("start", 60_000, "x".repeat(1_000)).substring(0, 600));
-            node.loop.execute(() -> node.clients.stop(stopped::countDown));
+            node.loop.execute(() -> node.server.stop(stopped::countDown));
             assertEquals(-1, client.getInputStream().read());
             for (int i = 0; i < 20; i++) {  // after a reset, the next write would fail
                 write(client, "x");
@@ -340,25 +340,25 @@
     /** Guards against closing a connection in the midst of its request while others are idle. */
     @Test
     void whoIsSendingARequestDoesNotMakeRoomWhileOthersRest() throws Exception {
-        try (Server discovery = discovery(); Server host = Loopback.host("one");
-                Node node = node(discovery, SETTINGS, up("s1", host.address()))) {
+        try (Server discovery = discoveryServer(); Server host = Loopback.hostResponding("one");
+                GatewayNode node = node(discovery, SETTINGS, up("s1", host.address()))) {
             Socket sending = node.connect();
             write(sending, read(20_000) + read(20_000).substring(0, 40));
-            assertEquals("one", Loopback.read(sending).text());
+            assertEquals("one", Loopback.read(sending).bodyText());
             Socket resting = node.connect();
             write(resting, read(20_000));
-            assertEquals("one", Loopback.read(resting).text());
+            assertEquals("one", Loopback.read(resting).bodyText());
             for (int i = 0; i < 6; i++) {  // 64 descriptors allow 8 client connections
                 Socket other = node.connect();
                 write(other, read(20_000));
-                assertEquals("one", Loopback.read(other).text());
+                assertEquals("one", Loopback.read(other).bodyText());
             }
             Socket newcomer = node.connect();
             write(newcomer, read(20_000));
-            assertEquals("one", Loopback.read(newcomer).text());
+            assertEquals("one", Loopback.read(newcomer).bodyText());
             assertEquals(-1, resting.getInputStream().read());
             write(sending, read(20_000).substring(40));
-            assertEquals("one", Loopback.read(sending).text());
+            assertEquals("one", Loopback.read(sending).bodyText());
         }
     }
 
@@ -374,8 +374,8 @@
 
     /** Whether the gateway is idle after that time, measured by a timer of the same event loop that has the deadlines,
         so that a slow machine does not change the order. */
-    private static boolean owesNothingAfter(Node node, int millis) throws Exception {
-        return node.loop.schedule(() -> node.clients.gateway().owesNothing(), millis, TimeUnit.MILLISECONDS).get();
+    private static boolean owesNothingAfter(GatewayNode node, int millis) throws Exception {
+        return node.loop.schedule(() -> node.server.gateway().isIdle(), millis, TimeUnit.MILLISECONDS).get();
     }
 
     /** Guards against a response that ends long after its deadline, or never: it is streamed since its length is
@@ -384,13 +384,13 @@
     void anAnswerThatHangsOnItsWayEndsWithItsDeadline() throws Exception {
         CountDownLatch seen = new CountDownLatch(1);
         BlockingQueue<String> hangs = new LinkedBlockingQueue<>();
-        try (Server discovery = discovery(); Server host = new Server(message -> {
+        try (Server discovery = discoveryServer(); Server host = new Server(message -> {
             write(message.socket(), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
             while (!seen.await(20, TimeUnit.MILLISECONDS)) {
                 write(message.socket(), "1\r\nx\r\n");
             }
             hangs.add("now");
-        }); Node node = node(discovery, SETTINGS, up("s1", host.address()))) {
+        }); GatewayNode node = node(discovery, SETTINGS, up("s1", host.address()))) {
             Socket client = node.connect();
             write(client, read(1_500));
             readTo(client, "x");
@@ -407,16 +407,16 @@
     @Test
     void aLongAnswerMayGoOnBehindItsDeadline() throws Exception {
         CountDownLatch seen = new CountDownLatch(1);
-        try (Server discovery = discovery(); Server host = new Server(message -> {
+        try (Server discovery = discoveryServer(); Server host = new Server(message -> {
             write(message.socket(), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n20000\r\n"
                     + "x".repeat(0x20000) + "\r\n");
             seen.await();
             write(message.socket(), "1\r\ny\r\n0\r\n\r\n");
-        }); Node node = node(discovery, SETTINGS, up("s1", host.address()))) {
+        }); GatewayNode node = node(discovery, SETTINGS, up("s1", host.address()))) {
             Socket client = node.connect();
             write(client, read(20_000));
             readTo(client, "x".repeat(1_000));
-            node.jump(20_000);
+            node.advanceClock(20_000);
             assertFalse(owesNothingAfter(node, 1_000));
             seen.countDown();
             readTo(client, "y\r\n0\r\n\r\n");
@@ -428,13 +428,13 @@
         last byte is read long after it arrived, and the client's time has been running. */
     @Test
     void aLongBodyThatWaitedForAConnectionHasNoMoreTimeForThat() throws Exception {
-        try (Server discovery = discovery(); LateHost late = new LateHost();
-                Node node = node(discovery, SETTINGS, up("s1", late.address()))) {
+        try (Server discovery = discoveryServer(); FullBacklogHost late = new FullBacklogHost();
+                GatewayNode node = node(discovery, SETTINGS, up("s1", late.address()))) {
             Socket client = node.connect();
             write(client, post("start", 20_000, "x".repeat(120_000)));
             until(() -> counted(node, Tally.Count.HOST_DIALS) == 1);
-            node.jump(15_000);
-            assertEquals(120_000, Loopback.read(late.open()).body().length);
+            node.advanceClock(15_000);
+            assertEquals(120_000, Loopback.read(late.acceptConnections()).body().length);
             assertTrue(owesNothingAfter(node, 7_000));
             assertEquals(504, Loopback.read(client).status());
         }
@@ -445,12 +445,12 @@
     @Test
     void anAnswerThatBreaksIsResetWhereItsEndWouldBeItsLength() throws Exception {
         CountDownLatch seen = new CountDownLatch(1);
-        try (Server discovery = discovery(); Server host = new Server(message -> {
+        try (Server discovery = discoveryServer(); Server host = new Server(message -> {
             write(message.socket(), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n20000\r\n"
                     + "x".repeat(0x20000) + "\r\n");
             seen.await();
             message.socket().close();
-        }); Node node = node(discovery, SETTINGS, up("s1", host.address()))) {
+        }); GatewayNode node = node(discovery, SETTINGS, up("s1", host.address()))) {
             Socket client = node.connect();
             write(client, read(20_000).replace("HTTP/1.1", "HTTP/1.0"));
             readTo(client, "x".repeat(0x20000));
@@ -464,16 +464,16 @@
         goes on sending after the last request on its connection. */
     @Test
     void aLastAnswerIsFollowedByAnOrderlyEndThoughTheClientStillSends() throws Exception {
-        try (Server discovery = discovery(); Server host = new Server(message -> { });
-                Node node = node(discovery, SETTINGS, up("s1", host.address()))) {
+        try (Server discovery = discoveryServer(); Server host = new Server(message -> { });
+                GatewayNode node = node(discovery, SETTINGS, up("s1", host.address()))) {
             Socket client = node.connect();
             write(client, read(20_000).replace("Host: s", "Host: s\r\nConnection: close"));
             Message taken = await(host.received);
             for (int i = 0; i < 200; i++) {  // more than is read ahead
                 write(client, read(20_000).replace("9b1f", "more" + i));
             }
-            write(taken.socket(), answer("200 OK", "last"));
-            assertEquals("last", Loopback.read(client).text());
+            write(taken.socket(), response("200 OK", "last"));
+            assertEquals("last", Loopback.read(client).bodyText());
             assertEquals(-1, client.getInputStream().read());
             for (int i = 0; i < 20; i++) {  // after a reset, the next write would fail
                 write(client, "more");
@@ -488,12 +488,12 @@
     @Test
     void whatComesOnAConnectionThatWasShutIsNotTaken() throws Exception {
         CountDownLatch stopped = new CountDownLatch(1);
-        try (Server discovery = discovery(); Server host = Loopback.host("one");
-                Node node = node(discovery, SETTINGS, up("s1", host.address()))) {
+        try (Server discovery = discoveryServer(); Server host = Loopback.hostResponding("one");
+                GatewayNode node = node(discovery, SETTINGS, up("s1", host.address()))) {
             Socket resting = node.connect();
             write(resting, read(20_000));
-            assertEquals("one", Loopback.read(resting).text());
-            node.loop.execute(() -> node.clients.stop(stopped::countDown));
+            assertEquals("one", Loopback.read(resting).bodyText());
+            node.loop.execute(() -> node.server.stop(stopped::countDown));
             assertEquals(-1, resting.getInputStream().read());
             write(resting, read(20_000));
             assertTrue(stopped.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS));
@@ -507,20 +507,20 @@
     @Test
     void aStopAnswersWhatWasReadBehindTheRequestThatIsOut() throws Exception {
         CountDownLatch stopped = new CountDownLatch(1);
-        try (Server discovery = discovery(); Server host = new Server(message -> { });
-                Node node = node(discovery, SETTINGS, up("s1", host.address()))) {
+        try (Server discovery = discoveryServer(); Server host = new Server(message -> { });
+                GatewayNode node = node(discovery, SETTINGS, up("s1", host.address()))) {
             Socket client = node.connect();
             write(client, read(20_000) + read(20_000).replace("9b1f", "9b20"));
             Message first = await(host.received);
             Socket resting = node.connect();
             write(resting, "GET /ready HTTP/1.1\r\n\r\n");
             assertEquals(200, Loopback.read(resting).status());
-            node.loop.execute(() -> node.clients.stop(stopped::countDown));
+            node.loop.execute(() -> node.server.stop(stopped::countDown));
             assertEquals(-1, resting.getInputStream().read());  // from now on, responses close their connections
-            write(first.socket(), answer("200 OK", "first"));
-            assertEquals("first", Loopback.read(client).text());
-            write(await(host.received).socket(), answer("200 OK", "second"));
-            assertEquals("second", Loopback.read(client).text());
+            write(first.socket(), response("200 OK", "first"));
+            assertEquals("first", Loopback.read(client).bodyText());
+            write(await(host.received).socket(), response("200 OK", "second"));
+            assertEquals("second", Loopback.read(client).bodyText());
             assertEquals(-1, client.getInputStream().read());
             assertTrue(stopped.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS));
             assertNothingIsOwed(node);
@@ -532,20 +532,20 @@
     @Test
     void aStopAnswersWhatIsOpenBeforeTheKill() throws Exception {
         CountDownLatch stopped = new CountDownLatch(1);
-        try (Server discovery = discovery(); Server host = new Server(message -> { });
-                Node node = node(discovery, SETTINGS, up("s1", host.address()))) {
+        try (Server discovery = discoveryServer(); Server host = new Server(message -> { });
+                GatewayNode node = node(discovery, SETTINGS, up("s1", host.address()))) {
             Socket client = node.connect();
             write(client, read(60_000));
             await(host.received);
-            node.loop.submit(() -> node.clients.stop(stopped::countDown)).sync();  // the time starts once the shutdown has
-            assertTrue(owesNothingAfter(node, (int) (ClientSide.stopAnswered(60_000_000) / 1000)));
+            node.loop.submit(() -> node.server.stop(stopped::countDown)).sync();  // the time starts once the shutdown has
+            assertTrue(owesNothingAfter(node, (int) (DownstreamServer.shutdownAnswerMicros(60_000_000) / 1000)));
             assertEquals(504, Loopback.read(client).status());
             assertEquals(-1, client.getInputStream().read());
             assertTrue(stopped.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS));
         }
     }
 
-    private static long counted(Node node, Tally.Count count) {
-        return node.clients.gateway().tally().sum(count);
+    private static long counted(GatewayNode node, Tally.Count count) {
+        return node.server.gateway().tally().sum(count);
     }
 }
--- a/src/test/java/mastdrift/net/GatewayTest.java
+++ b/src/test/java/mastdrift/net/GatewayTest.java
@@ -1,9 +1,9 @@
 package mastdrift.net;
 
 import static mastdrift.net.Loopback.SETTINGS;
-import static mastdrift.net.Loopback.discovery;
+import static mastdrift.net.Loopback.discoveryServer;
 import static mastdrift.net.Loopback.environment;
-import static mastdrift.net.Loopback.list;
+import static mastdrift.net.Loopback.hostList;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -40,7 +40,7 @@
     @TempDir
     private Path folder;
 
-    private final EventLoop loop = Main.loop();
+    private final EventLoop loop = Main.newEventLoop();
     private final ByteArrayOutputStream log = new ByteArrayOutputStream();
     private final BlockingQueue<String> answers = new LinkedBlockingQueue<>();
     private final List<String> events = new CopyOnWriteArrayList<>();
@@ -50,28 +50,28 @@
     private int looks;
     private final Gateway.Client client = new Gateway.Client() {
         @Override
-        public void served(FullHttpResponse answer) {
+        public void sendResponse(FullHttpResponse answer) {
             answers.add("served");
         }
 
         @Override
-        public void begun(FullHttpResponse answer, Relay rest, Consumer<Boolean> passed) {
+        public void startStreaming(FullHttpResponse answer, BodyRelay rest, Consumer<Boolean> passed) {
             answers.add("begun");
         }
 
         @Override
-        public boolean present() {
+        public boolean isConnected() {
             looks++;
             return present;
         }
 
         @Override
-        public void refused(long retryAfter) {
+        public void sendRefusal(long retryAfter) {
             answers.add("refused");
         }
 
         @Override
-        public void failed(boolean late) {
+        public void sendFailure(boolean late) {
             answers.add(late ? "late" : "failed");
         }
     };
@@ -94,10 +94,10 @@
                     }
                     return null;
                 });
-        try (Server discovery = discovery()) {
-            Config config = Config.read(environment(folder, discovery, list(1, true), SETTINGS));
+        try (Server discovery = discoveryServer()) {
+            Config config = Config.read(environment(folder, discovery, hostList(1, true), SETTINGS));
             loop.submit(() -> new Gateway(config, loop, System::nanoTime, module, config.tally(), 8, 8, new PrintStream(log,
-                    true, StandardCharsets.UTF_8)::println).take(client, new DefaultFullHttpRequest(HttpVersion.HTTP_1_1,
+                    true, StandardCharsets.UTF_8)::println).submit(client, new DefaultFullHttpRequest(HttpVersion.HTTP_1_1,
                     HttpMethod.GET, "/api"), null, "read", "acme", null, left, false, 0)).sync();
         }
     }
@@ -158,7 +158,7 @@
     void nothingIsSentForWhoHasGoneSinceTheLastLook() throws Exception {
         present = false;
         take(60_000_000, (asked, id) -> {
-            long until = System.nanoTime() + TimeUnit.MICROSECONDS.toNanos(2 * Gateway.LOOK_AFTER_MICROS);
+            long until = System.nanoTime() + TimeUnit.MICROSECONDS.toNanos(2 * Gateway.CLIENT_CHECK_INTERVAL_MICROS);
             while (System.nanoTime() < until) {
                 Thread.onSpinWait();
             }
@@ -181,7 +181,7 @@
     void aFaultInAPeriodicTaskIsToldAndTheNextTurnComes() throws Exception {
         BlockingQueue<String> faults = new LinkedBlockingQueue<>();
         CountDownLatch turns = new CountDownLatch(3);
-        Periodic.every(loop, 1_000, () -> {
+        PeriodicTask.schedule(loop, 1_000, () -> {
             turns.countDown();
             throw new OutOfMemoryError("on purpose");
         }, faults::add);
--- a/src/test/java/mastdrift/net/HostPoolTest.java
+++ b/src/test/java/mastdrift/net/HostPoolTest.java
@@ -1,10 +1,10 @@
 package mastdrift.net;
 
-import static mastdrift.net.Loopback.answer;
+import static mastdrift.net.Loopback.response;
 import static mastdrift.net.Loopback.await;
-import static mastdrift.net.Loopback.entry;
-import static mastdrift.net.Loopback.host;
-import static mastdrift.net.Loopback.list;
+import static mastdrift.net.Loopback.hostEntry;
+import static mastdrift.net.Loopback.hostResponding;
+import static mastdrift.net.Loopback.hostList;
 import static mastdrift.net.Loopback.write;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -39,7 +39,7 @@
     private static final long GRACE = 250_000;
     private static final long LONG = 60_000_000;
 
-    private final EventLoop loop = Main.loop();
+    private final EventLoop loop = Main.newEventLoop();
     private final AtomicLong clock = new AtomicLong(1_000_000);
     private final BlockingQueue<Outcome> outcomes = new LinkedBlockingQueue<>();
     private Server one;
@@ -47,8 +47,8 @@
 
     @BeforeEach
     void open() throws Exception {
-        one = host("1");
-        two = host("2");
+        one = hostResponding("1");
+        two = hostResponding("2");
     }
 
     @AfterEach
@@ -68,8 +68,8 @@
             EventLog log = new EventLog(clock::get, line -> { });
             HostPool pool = new HostPool(loop, clock::get, new LoopMonitor(clock::get, () -> null, tally, log), DIAL, IDLE, GRACE,
                     most, tally, log);
-            update(pool, list(1, true, entry("s1", one.address(), "a", "in_service"),
-                    entry("s2", two.address(), "a", "in_service")));
+            update(pool, hostList(1, true, hostEntry("s1", one.address(), "a", "in_service"),
+                    hostEntry("s2", two.address(), "a", "in_service")));
             return pool;
         });
     }
@@ -93,7 +93,7 @@
         HostPool pool = pool(10);
         assertEquals(Outcome.DELIVERED, outcome(pool, "s1"));
         assertEquals(Outcome.DELIVERED, outcome(pool, "s1"));
-        assertEquals(1, one.accepted.size());
+        assertEquals(1, one.acceptedConnections.size());
     }
 
     /** Guards against two processes that hold more connections together than one may. */
@@ -106,7 +106,7 @@
             return null;
         });
         clock.addAndGet(IDLE / 10);
-        assertNotNull(await(one.ended));
+        assertNotNull(await(one.closedConnections));
         assertEquals(Outcome.DELIVERED, outcome(pool, "s1"));
     }
 
@@ -117,8 +117,8 @@
         assertEquals(Outcome.DELIVERED, outcome(pool, "s1"));
         clock.addAndGet(IDLE * 9 / 10);
         assertEquals(Outcome.DELIVERED, outcome(pool, "s1"));
-        assertEquals(2, one.accepted.size());
-        assertNotNull(await(one.ended));
+        assertEquals(2, one.acceptedConnections.size());
+        assertNotNull(await(one.closedConnections));
     }
 
     @Test
@@ -129,7 +129,7 @@
             pool.closeIdle("s1");
             return null;
         });
-        assertNotNull(await(one.ended));
+        assertNotNull(await(one.closedConnections));
     }
 
     /** Guards against a send after the grace by an attempt that waited for its connection meanwhile. */
@@ -138,7 +138,7 @@
         HostPool pool = pool(10);
         onLoop(() -> {
             send(pool, "s1");
-            update(pool, list(2, false, entry("s1", one.address(), "a", "terminating")));
+            update(pool, hostList(2, false, hostEntry("s1", one.address(), "a", "terminating")));
             clock.addAndGet(GRACE);
             return null;
         });
@@ -151,11 +151,11 @@
         HostPool pool = pool(10);
         outcome(pool, "s1");
         onLoop(() -> {
-            update(pool, list(2, true, entry("s2", two.address(), "a", "in_service")));
+            update(pool, hostList(2, true, hostEntry("s2", two.address(), "a", "in_service")));
             return null;
         });
         assertEquals(Outcome.UNUSED, outcome(pool, "s1"));
-        assertNotNull(await(one.ended));
+        assertNotNull(await(one.closedConnections));
         assertEquals(1, one.received.size());
     }
 
@@ -171,7 +171,7 @@
         });
         assertEquals(Outcome.DIAL_FAILED, await(outcomes));
         assertEquals(Outcome.DELIVERED, await(outcomes));
-        assertNotNull(await(one.ended));
+        assertNotNull(await(one.closedConnections));
     }
 
     @Test
@@ -191,7 +191,7 @@
     private HostPool poolOf(Server host) throws Exception {
         HostPool pool = pool(10);
         onLoop(() -> {
-            update(pool, list(2, false, entry("s1", host.address(), "a", "in_service")));
+            update(pool, hostList(2, false, hostEntry("s1", host.address(), "a", "in_service")));
             return null;
         });
         return pool;
@@ -201,22 +201,22 @@
     @ParameterizedTest
     @ValueSource(strings = {"HTTP/1.1 200 OK~Content-Length: 1~~1", "noise", "HTTP/1.1 200 OK~Content-Length: 9~~"})
     void aConnectionOnWhichMoreCameIsNotUsedAgain(String more) throws Exception {
-        try (Server host = new Server(m -> write(m.socket(), answer("200 OK", "1") + more.replace("~", "\r\n")))) {
+        try (Server host = new Server(m -> write(m.socket(), response("200 OK", "1") + more.replace("~", "\r\n")))) {
             HostPool pool = poolOf(host);
             assertEquals(Outcome.DELIVERED, outcome(pool, "s1"));
             assertEquals(Outcome.DELIVERED, outcome(pool, "s1"));
-            assertEquals(2, host.accepted.size());
+            assertEquals(2, host.acceptedConnections.size());
         }
     }
 
     /** The same for what comes later, while no request is out. */
     @Test
     void aByteOnAnIdleConnectionClosesIt() throws Exception {
-        try (Server host = host("1")) {
+        try (Server host = hostResponding("1")) {
             HostPool pool = poolOf(host);
             assertEquals(Outcome.DELIVERED, outcome(pool, "s1"));
             write(await(host.received).socket(), "H");
-            assertNotNull(await(host.ended));
+            assertNotNull(await(host.closedConnections));
             assertEquals(Outcome.DELIVERED, outcome(pool, "s1"));
         }
     }
@@ -225,19 +225,19 @@
         has been seen to send what nobody asked for, its connections rest behind each answer. */
     @Test
     void whereAStrayWasSeenConnectionsRestBehindAnAnswer() throws Exception {
-        try (Server host = host("1")) {
+        try (Server host = hostResponding("1")) {
             HostPool pool = poolOf(host);
             assertEquals(Outcome.DELIVERED, outcome(pool, "s1"));
             assertEquals(Outcome.DELIVERED, outcome(pool, "s1"));
-            assertEquals(1, host.accepted.size());
-            write(await(host.received).socket(), answer("200 OK", "2"));
-            assertNotNull(await(host.ended));
+            assertEquals(1, host.acceptedConnections.size());
+            write(await(host.received).socket(), response("200 OK", "2"));
+            assertNotNull(await(host.closedConnections));
             assertEquals(Outcome.DELIVERED, outcome(pool, "s1"));
             assertEquals(Outcome.DELIVERED, outcome(pool, "s1"));
-            assertEquals(3, host.accepted.size());
+            assertEquals(3, host.acceptedConnections.size());
             clock.addAndGet(50_000);
             assertEquals(Outcome.DELIVERED, outcome(pool, "s1"));
-            assertEquals(3, host.accepted.size());
+            assertEquals(3, host.acceptedConnections.size());
         }
     }
 
@@ -255,7 +255,7 @@
         try (Server host = new Server(m -> write(m.socket(), spoilt.replace("~", "\r\n")))) {
             HostPool pool = poolOf(host);
             assertEquals(Outcome.DROPPED, outcome(pool, "s1"));
-            assertNotNull(await(host.ended));
+            assertNotNull(await(host.closedConnections));
         }
     }
 
@@ -273,11 +273,11 @@
     @Test
     void interimAnswersAheadChangeNothing() throws Exception {
         try (Server host = new Server(m -> write(m.socket(), "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n"
-                + "HTTP/1.1 102 Processing\r\n\r\n" + answer("200 OK", "1")))) {
+                + "HTTP/1.1 102 Processing\r\n\r\n" + response("200 OK", "1")))) {
             HostPool pool = poolOf(host);
             assertEquals(Outcome.DELIVERED, outcome(pool, "s1"));
             assertEquals(Outcome.DELIVERED, outcome(pool, "s1"));
-            assertEquals(1, host.accepted.size());
+            assertEquals(1, host.acceptedConnections.size());
         }
     }
 
@@ -289,10 +289,10 @@
             onLoop(() -> send(pool, "s1"));
             Message held = await(old.received);
             onLoop(() -> {
-                update(pool, list(3, false, entry("s1", one.address(), "a", "in_service")));
+                update(pool, hostList(3, false, hostEntry("s1", one.address(), "a", "in_service")));
                 return null;
             });
-            write(held.socket(), answer("200 OK", "1"));
+            write(held.socket(), response("200 OK", "1"));
             assertEquals(Outcome.DELIVERED, await(outcomes));
             assertEquals(Outcome.DELIVERED, outcome(pool, "s1"));
             assertEquals(1, one.received.size());
--- a/src/test/java/mastdrift/net/LifeTest.java
+++ b/src/test/java/mastdrift/net/LifeTest.java
@@ -1,16 +1,16 @@
 package mastdrift.net;
 
 import static mastdrift.net.Loopback.SETTINGS;
-import static mastdrift.net.Loopback.answer;
+import static mastdrift.net.Loopback.response;
 import static mastdrift.net.Loopback.await;
-import static mastdrift.net.Loopback.discovery;
-import static mastdrift.net.Loopback.entry;
+import static mastdrift.net.Loopback.discoveryServer;
+import static mastdrift.net.Loopback.hostEntry;
 import static mastdrift.net.Loopback.environment;
-import static mastdrift.net.Loopback.host;
-import static mastdrift.net.Loopback.list;
+import static mastdrift.net.Loopback.hostResponding;
+import static mastdrift.net.Loopback.hostList;
 import static mastdrift.net.Loopback.post;
 import static mastdrift.net.Loopback.read;
-import static mastdrift.net.Loopback.tell;
+import static mastdrift.net.Loopback.sendListLine;
 import static mastdrift.net.Loopback.write;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -41,7 +41,7 @@
 import java.util.stream.IntStream;
 import java.util.stream.Stream;
 import mastdrift.net.Loopback.Message;
-import mastdrift.net.Loopback.Node;
+import mastdrift.net.Loopback.GatewayNode;
 import mastdrift.net.Loopback.Server;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -58,14 +58,14 @@
     private Path folder;
 
     private static String up(String uid, Server host) {
-        return entry(uid, host.address(), "a", "in_service");
+        return hostEntry(uid, host.address(), "a", "in_service");
     }
 
     /** Asks until the answers come from the host that discovery told of. */
-    private static void awaitBody(Node node, String body) throws IOException {
+    private static void awaitBody(GatewayNode node, String body) throws IOException {
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(Loopback.WAIT_SECONDS);
         Socket client = node.connect();
-        for (String got = ""; !got.equals(body); got = Loopback.read(client).text()) {
+        for (String got = ""; !got.equals(body); got = Loopback.read(client).bodyText()) {
             write(client, read(20_000));
             assertTrue(System.nanoTime() < until, "no answer from " + body);
         }
@@ -75,17 +75,17 @@
         client and its first list: where lists are pushed, what they say counts from the start of the process on. */
     @Test
     void aNewProcessHearsOfADrainBeforeItsFirstClient() throws Exception {
-        try (Server one = host("one"); Server two = host("two"); Server discovery = new Server(message -> {
+        try (Server one = hostResponding("one"); Server two = hostResponding("two"); Server discovery = new Server(message -> {
             write(message.socket(), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         })) {
-            Map<String, String> environment = environment(folder, discovery, list(1, true, up("s1", one)),
+            Map<String, String> environment = environment(folder, discovery, hostList(1, true, up("s1", one)),
                     SETTINGS.replace("on_request", "pushed"));
-            CompletableFuture<Node> starts = CompletableFuture.supplyAsync(() -> new Node(environment));
+            CompletableFuture<GatewayNode> starts = CompletableFuture.supplyAsync(() -> new GatewayNode(environment));
             Socket watch = await(discovery.received).socket();
             assertThrows(TimeoutException.class, () -> starts.get(300, TimeUnit.MILLISECONDS));
-            tell(watch, list(2, false, entry("s1", one.address(), "a", "terminating"), up("s2", two)));
-            try (Node node = starts.get(LIFE_SECONDS, TimeUnit.SECONDS)) {
-                assertEquals("two", node.ask(read(20_000)).text());
+            sendListLine(watch, hostList(2, false, hostEntry("s1", one.address(), "a", "terminating"), up("s2", two)));
+            try (GatewayNode node = starts.get(LIFE_SECONDS, TimeUnit.SECONDS)) {
+                assertEquals("two", node.sendRequest(read(20_000)).bodyText());
             }
         }
     }
@@ -95,12 +95,12 @@
     @ParameterizedTest
     @ValueSource(ints = {1, 7, 1_000_000})
     void aWatchMayComeIndentedAndInPieces(int piece) throws Exception {
-        try (Server discovery = discovery(); Server one = host("one"); Server two = host("two");
-                Node node = new Node(environment(folder, discovery, list(1, true, up("s1", one)), SETTINGS))) {
+        try (Server discovery = discoveryServer(); Server one = hostResponding("one"); Server two = hostResponding("two");
+                GatewayNode node = new GatewayNode(environment(folder, discovery, hostList(1, true, up("s1", one)), SETTINGS))) {
             Message watch = await(discovery.received);
-            String indented = list(7, false, entry("s1", one.address(), "a", "terminating"), up("s}\\\"{2", two))
+            String indented = hostList(7, false, hostEntry("s1", one.address(), "a", "terminating"), up("s}\\\"{2", two))
                     .replace("{", "{\n  ").replace("},", "},\r\n  ").replace("]", "\n ]").replace("s}\\\"{\n  2", "s}\\\"{2");
-            String lines = "\n" + indented + "\n\n" + list(8, false) + "\n";
+            String lines = "\n" + indented + "\n\n" + hostList(8, false) + "\n";
             synchronized (watch.socket()) {  // behind the head of the answer
                 for (int from = 0; from < lines.length(); from += piece) {
                     String next = lines.substring(from, Math.min(lines.length(), from + piece));
@@ -108,9 +108,9 @@
                 }
             }
             awaitBody(node, "two");
-            tell(watch.socket(), "{\"rev\":9,\"all\":true,");
-            tell(watch.socket(), "");
-            assertEquals("GET /v1/endpoints?watch=1&from=8 HTTP/1.1", await(discovery.received).line());
+            sendListLine(watch.socket(), "{\"rev\":9,\"all\":true,");
+            sendListLine(watch.socket(), "");
+            assertEquals("GET /v1/endpoints?watch=1&from=8 HTTP/1.1", await(discovery.received).startLine());
         }
     }
 
@@ -119,20 +119,20 @@
     @ParameterizedTest
     @ValueSource(strings = {"end", "odd", "silence"})
     void aWatchThatBreaksIsResumed(String how) throws Exception {
-        try (Server discovery = discovery(); Server one = host("one"); Server two = host("two");
-                Node node = new Node(environment(folder, discovery, list(1, true, up("s1", one)), SETTINGS))) {
+        try (Server discovery = discoveryServer(); Server one = hostResponding("one"); Server two = hostResponding("two");
+                GatewayNode node = new GatewayNode(environment(folder, discovery, hostList(1, true, up("s1", one)), SETTINGS))) {
             Message first = await(discovery.received);
-            assertEquals("GET /v1/endpoints?watch=1&from=1 HTTP/1.1", first.line());
-            tell(first.socket(), list(7, false, entry("s1", one.address(), "a", "terminating"), up("s2", two)));
+            assertEquals("GET /v1/endpoints?watch=1&from=1 HTTP/1.1", first.startLine());
+            sendListLine(first.socket(), hostList(7, false, hostEntry("s1", one.address(), "a", "terminating"), up("s2", two)));
             awaitBody(node, "two");
             if (how.equals("end")) {
                 first.socket().close();
             } else if (how.equals("odd")) {
-                tell(first.socket(), "{\"rev\":8,\"all\":false,\"targets\":[{\"uid\":3}]}");
+                sendListLine(first.socket(), "{\"rev\":8,\"all\":false,\"targets\":[{\"uid\":3}]}");
             }
             Message next = await(discovery.received);
-            assertEquals("GET /v1/endpoints?watch=1&from=7 HTTP/1.1", next.line());
-            tell(next.socket(), list(9, true, up("s1", one)));
+            assertEquals("GET /v1/endpoints?watch=1&from=7 HTTP/1.1", next.startLine());
+            sendListLine(next.socket(), hostList(9, true, up("s1", one)));
             awaitBody(node, "one");
         }
     }
@@ -142,7 +142,7 @@
     @ParameterizedTest
     @ValueSource(strings = {"GET", "{\"rev\":2,"})
     void aCallThatTricklesEndsAllTheSame(String first) throws Exception {
-        try (Server one = host("one"); Server discovery = new Server(message -> {
+        try (Server one = hostResponding("one"); Server discovery = new Server(message -> {
             write(message.socket(), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
             String begun = first.equals("GET") ? "" : Integer.toHexString(first.length()) + "\r\n" + first + "\r\n";
             write(message.socket(), begun);
@@ -150,28 +150,28 @@
                 Thread.sleep(100);
                 write(message.socket(), "1\r\n \r\n");
             }
-        }); Node node = new Node(environment(folder, discovery, list(1, true, up("s1", one)), SETTINGS))) {
+        }); GatewayNode node = new GatewayNode(environment(folder, discovery, hostList(1, true, up("s1", one)), SETTINGS))) {
             await(discovery.received);
-            assertEquals("GET /v1/endpoints?watch=1&from=1 HTTP/1.1", await(discovery.received).line());
+            assertEquals("GET /v1/endpoints?watch=1&from=1 HTTP/1.1", await(discovery.received).startLine());
         }
     }
 
     /** Guards against a drained host that gets requests again by a list of before its drain, which comes whole and late. */
     @Test
     void aListOfAnOlderVersionTakesNothingBack() throws Exception {
-        try (Server discovery = discovery(); Server one = host("one"); Server two = host("two");
-                Node node = new Node(environment(folder, discovery, list(1, true, up("s1", one)), SETTINGS))) {
+        try (Server discovery = discoveryServer(); Server one = hostResponding("one"); Server two = hostResponding("two");
+                GatewayNode node = new GatewayNode(environment(folder, discovery, hostList(1, true, up("s1", one)), SETTINGS))) {
             Message first = await(discovery.received);
-            tell(first.socket(), list(7, false, entry("s1", one.address(), "a", "terminating"), up("s2", two)));
+            sendListLine(first.socket(), hostList(7, false, hostEntry("s1", one.address(), "a", "terminating"), up("s2", two)));
             awaitBody(node, "two");
             first.socket().close();
             Message next = await(discovery.received);
-            tell(next.socket(), list(6, true, up("s1", one)));
-            tell(next.socket(), "{\"rev\":8,");  // which breaks off
-            tell(next.socket(), "");
-            assertEquals("GET /v1/endpoints?watch=1&from=7 HTTP/1.1", await(discovery.received).line());
+            sendListLine(next.socket(), hostList(6, true, up("s1", one)));
+            sendListLine(next.socket(), "{\"rev\":8,");  // which breaks off
+            sendListLine(next.socket(), "");
+            assertEquals("GET /v1/endpoints?watch=1&from=7 HTTP/1.1", await(discovery.received).startLine());
             for (int i = 0; i < 20; i++) {
-                assertEquals("two", node.ask(read(20_000).replace("7f3a", "key" + i)).text());
+                assertEquals("two", node.sendRequest(read(20_000).replace("7f3a", "key" + i)).bodyText());
             }
         }
     }
@@ -181,12 +181,12 @@
     @Test
     void idleClientsThatFillTheDescriptorsKeepNoListFromComing() throws Exception {
         CountDownLatch back = new CountDownLatch(1);
-        try (Server one = host("one"); Server two = host("two"); Server discovery = new Server(message -> {
+        try (Server one = hostResponding("one"); Server two = hostResponding("two"); Server discovery = new Server(message -> {
             back.await();
             write(message.socket(), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-            tell(message.socket(), list(2, false, entry("s1", one.address(), "a", "terminating"), up("s2", two)));
+            sendListLine(message.socket(), hostList(2, false, hostEntry("s1", one.address(), "a", "terminating"), up("s2", two)));
         })) {
-            Map<String, String> environment = environment(folder, discovery, list(1, true, up("s1", one)),
+            Map<String, String> environment = environment(folder, discovery, hostList(1, true, up("s1", one)),
                     SETTINGS.replace("on_request", "pushed"));
             Path file = Path.of(environment.get("NODE_CONFIG"));
             Files.writeString(file, Files.readString(file).replace("\"sockets\":64", "\"sockets\":128"));
@@ -198,10 +198,10 @@
                 for (int i = 0; i < 300; i++) {
                     idle.add(new Socket("127.0.0.1", port));
                 }
-                assertEquals("one", ask(port).text());
+                assertEquals("one", ask(port).bodyText());
                 back.countDown();
                 awaitLog("list 2: 2 changes");
-                assertEquals("two", ask(port).text());
+                assertEquals("two", ask(port).bodyText());
                 assertFalse(log().contains("fault"), log());
             } finally {
                 process.destroyForcibly();
@@ -224,9 +224,9 @@
         {@code run}. */
     @Test
     void aThousandHostsAndGatewaysFitIntoTheProgramsMemory() throws Exception {
-        try (Server discovery = discovery(); Server one = host("one")) {
+        try (Server discovery = discoveryServer(); Server one = hostResponding("one")) {
             String[] entries = IntStream.range(0, 1024).mapToObj(i -> up("s" + i, one)).toArray(String[]::new);
-            Map<String, String> environment = environment(folder, discovery, list(1, true, entries),
+            Map<String, String> environment = environment(folder, discovery, hostList(1, true, entries),
                     SETTINGS.replace("on_request", "pushed").replace("\"balancers\":1,", "\"balancers\":1024,"));
             Path file = Path.of(environment.get("NODE_CONFIG"));
             Files.writeString(file, Files.readString(file).replace("\"sockets\":64", "\"sockets\":256"));
@@ -236,7 +236,7 @@
                     || flag.startsWith("-Xss") || flag.startsWith("-XX:MaxDirect")).toList());
             try {
                 Socket watch = await(discovery.received).socket();
-                tell(watch, list(2, true, entries));
+                sendListLine(watch, hostList(2, true, entries));
                 awaitLog("list 2: 1024 hosts");
                 awaitLog("listening on ");
                 int port = Integer.parseInt(log().replaceAll("(?s).*listening on [^\n]*:(\\d+)\n.*", "$1"));
@@ -244,7 +244,7 @@
                     client.setSoTimeout(Loopback.WAIT_SECONDS * 1000);
                     for (int i = 0; i < 2000; i++) {
                         write(client, read(20_000).replace("7f3a", "key" + i));
-                        assertEquals("one", Loopback.read(client).text());
+                        assertEquals("one", Loopback.read(client).bodyText());
                     }
                 }
                 assertFalse(log().contains("fault"), log());
@@ -257,11 +257,11 @@
     /** Guards against a stray close: a gateway that can't reach discovery serves by what it knows. */
     @Test
     void withoutDiscoveryTheKnownListServes() throws Exception {
-        Server discovery = discovery();
+        Server discovery = discoveryServer();
         discovery.close();
-        try (Server one = host("one");
-                Node node = new Node(environment(folder, discovery, list(1, true, up("s1", one)), SETTINGS))) {
-            assertEquals("one", node.ask(read(20_000)).text());
+        try (Server one = hostResponding("one");
+                GatewayNode node = new GatewayNode(environment(folder, discovery, hostList(1, true, up("s1", one)), SETTINGS))) {
+            assertEquals("one", node.sendRequest(read(20_000)).bodyText());
         }
     }
 
@@ -270,20 +270,20 @@
     @ParameterizedTest
     @ValueSource(ints = {256, 384, 1024})
     void clientsMayHoldAThirdOfTheDescriptorsForRequests(int sockets) {
-        int most = Main.connectionsMost(sockets);
-        assertTrue(Main.openMost(most) >= sockets / 3, "requests " + Main.openMost(most));
+        int most = Main.maxConnections(sockets);
+        assertTrue(Main.maxOpenRequests(most) >= sockets / 3, "requests " + Main.maxOpenRequests(most));
         assertTrue(2 * most + 40 <= sockets, "connections " + most);
     }
 
     @Test
     void idleClientsMakeRoomAtTheBound() throws Exception {
-        try (Server discovery = discovery(); Server one = host("one");
-                Node node = new Node(environment(folder, discovery, list(1, true, up("s1", one)), SETTINGS))) {
+        try (Server discovery = discoveryServer(); Server one = hostResponding("one");
+                GatewayNode node = new GatewayNode(environment(folder, discovery, hostList(1, true, up("s1", one)), SETTINGS))) {
             Socket eldest = node.connect();
             write(eldest, read(20_000));
             assertEquals(200, Loopback.read(eldest).status());
             for (int i = 0; i < 8; i++) {  // 64 descriptors leave 8 to clients
-                assertEquals(200, node.ask(read(20_000)).status());
+                assertEquals(200, node.sendRequest(read(20_000)).status());
             }
             assertNull(Loopback.read(eldest));
         }
@@ -292,8 +292,8 @@
     /** Guards against a flood of connections that say nothing and push out those that clients use. */
     @Test
     void silentConnectionsMakeRoomFirst() throws Exception {
-        try (Server discovery = discovery(); Server one = host("one");
-                Node node = new Node(environment(folder, discovery, list(1, true, up("s1", one)), SETTINGS))) {
+        try (Server discovery = discoveryServer(); Server one = hostResponding("one");
+                GatewayNode node = new GatewayNode(environment(folder, discovery, hostList(1, true, up("s1", one)), SETTINGS))) {
             Socket used = node.connect();
             write(used, read(20_000));
             assertEquals(200, Loopback.read(used).status());
@@ -309,12 +309,12 @@
 
     @Test
     void beyondTheMostOpenRequestsOneIsRefused() throws Exception {
-        try (Server discovery = discovery(); Server silent = new Server(message -> { });
-                Node node = new Node(environment(folder, discovery, list(1, true, up("s1", silent)),
+        try (Server discovery = discoveryServer(); Server silent = new Server(message -> { });
+                GatewayNode node = new GatewayNode(environment(folder, discovery, hostList(1, true, up("s1", silent)),
                         SETTINGS.replace("\"max_open\":20000", "\"max_open\":1")))) {
             write(node.connect(), read(60_000));
             await(silent.received);
-            Message answer = node.ask(read(60_000).replace("9b1f", "9b20"));
+            Message answer = node.sendRequest(read(60_000).replace("9b1f", "9b20"));
             assertEquals(503, answer.status());
             assertEquals("2", answer.header("Retry-After"));
         }
@@ -324,13 +324,13 @@
     @Test
     void aStopFinishesWhatWasTaken() throws Exception {
         CountDownLatch stopped = new CountDownLatch(1);
-        try (Server discovery = discovery();
+        try (Server discovery = discoveryServer();
                 Server host = new Server(message -> {
-                    if (message.line().startsWith("POST")) {
-                        write(message.socket(), answer("200 OK", "one"));
+                    if (message.startLine().startsWith("POST")) {
+                        write(message.socket(), response("200 OK", "one"));
                     }
                 });
-                Node node = new Node(environment(folder, discovery, list(1, true, up("s1", host)), SETTINGS))) {
+                GatewayNode node = new GatewayNode(environment(folder, discovery, hostList(1, true, up("s1", host)), SETTINGS))) {
             Socket idle = node.connect();
             write(idle, "GET /ready HTTP/1.1\r\n\r\n");
             assertEquals(200, Loopback.read(idle).status());
@@ -339,16 +339,16 @@
             Message held = await(host.received);
             Socket coming = node.connect();
             node.loop.submit(() -> {
-                node.clients.stop(stopped::countDown);
+                node.server.stop(stopped::countDown);
                 write(idle, post("once", 20_000, "x").replace("9b1f", "9b20"));
                 return null;
             }).sync();
-            assertEquals("one", Loopback.read(idle).text());  // clients may have no other gateway just now
+            assertEquals("one", Loopback.read(idle).bodyText());  // clients may have no other gateway just now
             assertNull(Loopback.read(idle));
             assertNull(Loopback.read(coming));
-            write(held.socket(), answer("200 OK", "in time"));
+            write(held.socket(), response("200 OK", "in time"));
             Message answer = Loopback.read(taken);
-            assertEquals("in time", answer.text());
+            assertEquals("in time", answer.bodyText());
             assertEquals("close", answer.header("Connection"));
             assertTrue(stopped.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS));
         }
@@ -360,8 +360,8 @@
     @ValueSource(longs = {200_000, 670_000, 2_000_000, 3_000_000, 60_000_000})
     void aStopTakesNothingMoreAndHasAnsweredAllBeforeTheKill(long deadline) {
         long kill = Math.min(deadline, 3_000_000) + 700_000;
-        assertTrue(ClientSide.stopServing(deadline) < ClientSide.stopAnswered(deadline));
-        assertTrue(ClientSide.stopAnswered(deadline) <= kill - 300_000);
+        assertTrue(DownstreamServer.shutdownServeMicros(deadline) < DownstreamServer.shutdownAnswerMicros(deadline));
+        assertTrue(DownstreamServer.shutdownAnswerMicros(deadline) <= kill - 300_000);
     }
 
     private Process start(Map<String, String> environment, String... arguments) throws IOException {
@@ -393,11 +393,11 @@
     @ValueSource(booleans = {false, true})
     void aRehearsalPlaysThroughAndReachesNobody(boolean longToo) throws Exception {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        try (Server discovery = discovery(); Server one = host("one")) {
-            Config config = Config.read(environment(folder, discovery, list(1, true, up("s1", one)), SETTINGS));
-            Rehearsal.play(config, null, longToo, Main.loop(), new PrintStream(out, true, StandardCharsets.UTF_8)::println);
+        try (Server discovery = discoveryServer(); Server one = hostResponding("one")) {
+            Config config = Config.read(environment(folder, discovery, hostList(1, true, up("s1", one)), SETTINGS));
+            Rehearsal.play(config, null, longToo, Main.newEventLoop(), new PrintStream(out, true, StandardCharsets.UTF_8)::println);
             assertEquals("", out.toString(StandardCharsets.UTF_8));
-            assertTrue(one.accepted.isEmpty() && discovery.accepted.isEmpty());
+            assertTrue(one.acceptedConnections.isEmpty() && discovery.acceptedConnections.isEmpty());
         }
     }
 
@@ -423,8 +423,8 @@
 
     @Test
     void sigtermEndsTheProgramWithStatus0() throws Exception {
-        try (Server discovery = discovery(); Server one = host("one")) {
-            Process process = start(environment(folder, discovery, list(1, true, up("s1", one)), SETTINGS));
+        try (Server discovery = discoveryServer(); Server one = hostResponding("one")) {
+            Process process = start(environment(folder, discovery, hostList(1, true, up("s1", one)), SETTINGS));
             try {
                 await(discovery.received);  // it has started
                 process.destroy();
@@ -441,27 +441,27 @@
         that it has, tells them to leave, and closes what nobody asks on at last. */
     @Test
     void aSuccessorTakesOverTheListeningSocket() throws Exception {
-        try (Server discovery = discovery(); Server one = host("one"); Server two = host("two");
+        try (Server discovery = discoveryServer(); Server one = hostResponding("one"); Server two = hostResponding("two");
                 ServerSocketChannel passed = ServerSocketChannel.open()) {
             passed.bind(new InetSocketAddress("127.0.0.1", 0));
             passed.configureBlocking(false);
-            try (Node old = new Node(environment(folder, discovery, list(1, true, up("s1", one)), SETTINGS), passed)) {
+            try (GatewayNode old = new GatewayNode(environment(folder, discovery, hostList(1, true, up("s1", one)), SETTINGS), passed)) {
                 Socket used = old.connect();
                 Socket idle = old.connect();
                 for (Socket client : List.of(used, idle)) {
                     write(client, read(20_000));
-                    assertEquals("one", Loopback.read(client).text());
+                    assertEquals("one", Loopback.read(client).bodyText());
                 }
-                try (Node next = new Node(environment(folder, discovery, list(1, true, up("s2", two)), SETTINGS),
+                try (GatewayNode next = new GatewayNode(environment(folder, discovery, hostList(1, true, up("s2", two)), SETTINGS),
                         passed)) {
                     CountDownLatch stopped = new CountDownLatch(1);
-                    old.loop.submit(() -> old.clients.stop(stopped::countDown)).sync();
+                    old.loop.submit(() -> old.server.stop(stopped::countDown)).sync();
                     for (int i = 0; i < 20; i++) {
-                        assertEquals("two", next.ask(read(20_000)).text());
+                        assertEquals("two", next.sendRequest(read(20_000)).bodyText());
                     }
                     write(used, read(20_000));
                     Message last = Loopback.read(used);
-                    assertEquals("one", last.text());
+                    assertEquals("one", last.bodyText());
                     assertEquals("close", last.header("Connection"));
                     assertNull(Loopback.read(idle));
                     assertTrue(stopped.await(LIFE_SECONDS, TimeUnit.SECONDS));
@@ -472,8 +472,8 @@
 
     @Test
     void aPassedSocketThatIsNoneEndsTheStartWithOnePlainLine() throws Exception {
-        try (Server discovery = discovery()) {
-            Map<String, String> environment = new HashMap<>(environment(folder, discovery, list(1, true), SETTINGS));
+        try (Server discovery = discoveryServer()) {
+            Map<String, String> environment = new HashMap<>(environment(folder, discovery, hostList(1, true), SETTINGS));
             environment.put("NODE_PASSED_SOCKET", "0");
             Process process = start(environment);
             try {
@@ -502,15 +502,15 @@
     /** Guards against a gateway that SIGHUP ends, and against one that goes on asking where discovery no longer is. */
     @Test
     void sighupMovesDiscovery() throws Exception {
-        try (Server discovery = discovery(); Server moved = discovery(); Server one = host("one")) {
-            Process process = start(environment(folder, discovery, list(1, true, up("s1", one)), SETTINGS));
+        try (Server discovery = discoveryServer(); Server moved = discoveryServer(); Server one = hostResponding("one")) {
+            Process process = start(environment(folder, discovery, hostList(1, true, up("s1", one)), SETTINGS));
             try {
                 Message before = await(discovery.received);
-                tell(before.socket(), list(5, false));
+                sendListLine(before.socket(), hostList(5, false));
                 awaitLog("list 5");
                 signalHup(process, "{\"discovery\":\"" + moved.address() + "\"}");
-                assertEquals("GET /v1/endpoints?watch=1&from=5 HTTP/1.1", await(moved.received).line());
-                assertNotNull(await(discovery.ended));
+                assertEquals("GET /v1/endpoints?watch=1&from=5 HTTP/1.1", await(moved.received).startLine());
+                assertNotNull(await(discovery.closedConnections));
                 signalHup(process, "{\"discovery\":");
                 awaitLog("configuration not taken");
                 signalHup(process, "{\"discovery\":\"" + moved.address() + "\"}");
@@ -537,9 +537,9 @@
         is told at a signal, and ends. */
     @Test
     void operatorsMayCallTheProgramFromItsStartToItsStop() throws Exception {
-        try (Server discovery = discovery(); Server moved = discovery(); Server one = host("one")) {
+        try (Server discovery = discoveryServer(); Server moved = discoveryServer(); Server one = hostResponding("one")) {
             Map<String, String> environment = new HashMap<>(
-                    environment(folder, discovery, list(1, true, up("s1", one)), SETTINGS));
+                    environment(folder, discovery, hostList(1, true, up("s1", one)), SETTINGS));
             environment.put("NODE_ADMIN", "127.0.0.1:0");
             Process process = start(environment);
             try {
@@ -549,13 +549,13 @@
                 awaitLog("configuration not taken");
                 signalHup(process, "{\"discovery\":\"" + moved.address() + "\"}");
                 await(moved.received);
-                String figures = call("GET /status/metrics").text();
+                String figures = call("GET /status/metrics").bodyText();
                 assertTrue(figures.contains("\nedge_node_reloads_failed_total 1\n"), figures);
                 assertTrue(figures.contains("\nedge_node_reloads_ok_total 1\n"), figures);
                 assertTrue(figures.contains("\nedge_node_hosts_known 1\n"), figures);
                 assertEquals(200, call("POST /standby").status());
                 awaitLog("standby");
-                assertEquals("standby\n", call("GET /status").text());
+                assertEquals("standby\n", call("GET /status").bodyText());
                 process.destroy();
                 assertTrue(process.waitFor(LIFE_SECONDS, TimeUnit.SECONDS));
                 assertEquals(0, process.exitValue(), log());
@@ -570,7 +570,7 @@
     @Test
     void afterAMoveOnlyTheNewAddressIsHeard() throws Exception {
         AtomicInteger calls = new AtomicInteger();
-        try (Server discovery = discovery(); Server one = host("one");
+        try (Server discovery = discoveryServer(); Server one = hostResponding("one");
                 Server moved = new Server(message -> {
                     if (calls.getAndIncrement() == 0) {
                         message.socket().close();
@@ -578,21 +578,21 @@
                         write(message.socket(), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
                     }
                 });
-                Node node = new Node(environment(folder, discovery, list(1, true, up("s1", one)), SETTINGS))) {
+                GatewayNode node = new GatewayNode(environment(folder, discovery, hostList(1, true, up("s1", one)), SETTINGS))) {
             Message before = await(discovery.received);
-            node.loop.submit(() -> node.clients.gateway().discoverAt(Loopback.at(moved))).sync();
+            node.loop.submit(() -> node.server.gateway().setDiscoveryAddress(Loopback.addressOf(moved))).sync();
             await(moved.received);
             Message watch = await(moved.received);
             assertFalse(node.log.toString(StandardCharsets.UTF_8).contains("discovery failed"));
             assertThrows(IOException.class, () -> {
                 while (true) {
-                    tell(before.socket(), list(9, true));
+                    sendListLine(before.socket(), hostList(9, true));
                 }
             });
-            tell(watch.socket(), list(6, true, up("s2", one)));
+            sendListLine(watch.socket(), hostList(6, true, up("s2", one)));
             awaitBody(node, "one");
             watch.socket().close();
-            assertEquals("GET /v1/endpoints?watch=1&from=6 HTTP/1.1", await(moved.received).line());
+            assertEquals("GET /v1/endpoints?watch=1&from=6 HTTP/1.1", await(moved.received).startLine());
         }
     }
 
@@ -600,18 +600,18 @@
         tells counts, also where the one between never answered. */
     @Test
     void behindTwoMovesADrainIsHeardFromTheLastAddress() throws Exception {
-        try (Server discovery = discovery(); Server between = new Server(message -> { }); Server last = discovery();
-                Server one = host("one"); Server two = host("two");
-                Node node = new Node(environment(folder, discovery, list(1, true, up("s1", one)), SETTINGS))) {
+        try (Server discovery = discoveryServer(); Server between = new Server(message -> { }); Server last = discoveryServer();
+                Server one = hostResponding("one"); Server two = hostResponding("two");
+                GatewayNode node = new GatewayNode(environment(folder, discovery, hostList(1, true, up("s1", one)), SETTINGS))) {
             await(discovery.received);
-            node.loop.submit(() -> node.clients.gateway().discoverAt(Loopback.at(between))).sync();
-            node.loop.submit(() -> node.clients.gateway().discoverAt(Loopback.at(last))).sync();
+            node.loop.submit(() -> node.server.gateway().setDiscoveryAddress(Loopback.addressOf(between))).sync();
+            node.loop.submit(() -> node.server.gateway().setDiscoveryAddress(Loopback.addressOf(last))).sync();
             Message watch = await(last.received);
-            assertEquals("GET /v1/endpoints?watch=1&from=1 HTTP/1.1", watch.line());
-            tell(watch.socket(), list(7, true, up("s2", two)));  // which leaves out the one that drains
+            assertEquals("GET /v1/endpoints?watch=1&from=1 HTTP/1.1", watch.startLine());
+            sendListLine(watch.socket(), hostList(7, true, up("s2", two)));  // which leaves out the one that drains
             awaitBody(node, "two");
             for (int i = 0; i < 20; i++) {
-                assertEquals("two", node.ask(read(20_000).replace("7f3a", "key" + i)).text());
+                assertEquals("two", node.sendRequest(read(20_000).replace("7f3a", "key" + i)).bodyText());
             }
         }
     }
@@ -622,9 +622,9 @@
         "NODE_ADMIN | here | address:port", "NODE_ADMIN | 203.0.113.1:9 | no listening for operators on",
         "settings | \"balancers\":0 | gateways can't be 0", "settings | \"balancers\":\"two\" | balancers as a"})
     void aBadConfigurationIsOnePlainLineAndStatus2(String what, String value, String expected) throws Exception {
-        try (Server discovery = discovery()) {
+        try (Server discovery = discoveryServer()) {
             String settings = what.equals("settings") ? SETTINGS.replace("\"balancers\":1", value) : SETTINGS;
-            Map<String, String> environment = new HashMap<>(environment(folder, discovery, list(1, true), settings));
+            Map<String, String> environment = new HashMap<>(environment(folder, discovery, hostList(1, true), settings));
             if (!what.equals("settings")) {
                 environment.put(what, value);
             }
--- a/src/test/java/mastdrift/net/LogOutputTest.java
+++ b/src/test/java/mastdrift/net/LogOutputTest.java
@@ -1,11 +1,11 @@
 package mastdrift.net;
 
 import static mastdrift.net.Loopback.SETTINGS;
-import static mastdrift.net.Loopback.discovery;
-import static mastdrift.net.Loopback.entry;
+import static mastdrift.net.Loopback.discoveryServer;
+import static mastdrift.net.Loopback.hostEntry;
 import static mastdrift.net.Loopback.environment;
-import static mastdrift.net.Loopback.host;
-import static mastdrift.net.Loopback.list;
+import static mastdrift.net.Loopback.hostResponding;
+import static mastdrift.net.Loopback.hostList;
 import static mastdrift.net.Loopback.read;
 import static mastdrift.net.Loopback.write;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -46,9 +46,9 @@
 
     /** A gateway whose discovery is away, so that it has something to log again and again. */
     private Process start(String before, String redirect, int port, int adminPort, Server host) throws IOException {
-        Server away = discovery();
+        Server away = discoveryServer();
         Map<String, String> environment = new HashMap<>(environment(folder, away,
-                list(1, true, entry("s1", host.address(), "a", "in_service")), SETTINGS));
+                hostList(1, true, hostEntry("s1", host.address(), "a", "in_service")), SETTINGS));
         away.close();
         environment.put("NODE_LISTEN", "127.0.0.1:" + port);
         environment.put("NODE_ADMIN", "127.0.0.1:" + adminPort);
@@ -86,7 +86,7 @@
     private static void assertServes(int port) throws IOException {
         for (int i = 0; i < REQUESTS; i++) {
             Loopback.Message answer = ask(port, read(20_000));
-            assertEquals("one", answer == null ? "no answer" : answer.text());
+            assertEquals("one", answer == null ? "no answer" : answer.bodyText());
         }
     }
 
@@ -100,7 +100,7 @@
     @Test
     void aLogThatNobodyReadsHoldsUpNoRequestAndNoStop() throws Exception {
         int port = freePort();
-        try (Server one = host("one")) {
+        try (Server one = hostResponding("one")) {
             Process process = start(FILL, "", port, freePort(), one);
             try {
                 awaitReady(port);
@@ -116,7 +116,7 @@
     @Test
     void aReaderThatComesBackGetsTheLog() throws Exception {
         int port = freePort();
-        try (Server one = host("one")) {
+        try (Server one = hostResponding("one")) {
             Process process = start(FILL, "", port, freePort(), one);
             try {
                 awaitReady(port);
@@ -137,12 +137,12 @@
     void aLogThatCantBeWrittenHoldsUpNothingAndIsCounted() throws Exception {
         int port = freePort();
         int adminPort = freePort();
-        try (Server one = host("one")) {
+        try (Server one = hostResponding("one")) {
             Process process = start("", " > /dev/full", port, adminPort, one);
             try {
                 awaitReady(port);
                 assertServes(port);
-                String metrics = ask(adminPort, "GET /status/metrics HTTP/1.1\r\nHost: s\r\n\r\n").text();
+                String metrics = ask(adminPort, "GET /status/metrics HTTP/1.1\r\nHost: s\r\n\r\n").bodyText();
                 long lost = Stream.of(metrics.split("\n")).filter(line -> line.startsWith("edge_node_log_lines_dropped_total "))
                         .mapToLong(line -> Long.parseLong(line.split(" ")[1])).sum();
                 assertTrue(lost > 0, metrics);
