--- a/src/test/java/mastdrift/net/LongBodyTest.java
+++ b/src/test/java/mastdrift/net/LongBodyTest.java
@@ -1,13 +1,13 @@
 package mastdrift.net;
 
 import static mastdrift.net.Loopback.SETTINGS;
-import static mastdrift.net.Loopback.answer;
+import static mastdrift.net.Loopback.response;
 import static mastdrift.net.Loopback.await;
-import static mastdrift.net.Loopback.discovery;
-import static mastdrift.net.Loopback.entry;
+import static mastdrift.net.Loopback.discoveryServer;
+import static mastdrift.net.Loopback.hostEntry;
 import static mastdrift.net.Loopback.environment;
-import static mastdrift.net.Loopback.host;
-import static mastdrift.net.Loopback.list;
+import static mastdrift.net.Loopback.hostResponding;
+import static mastdrift.net.Loopback.hostList;
 import static mastdrift.net.Loopback.post;
 import static mastdrift.net.Loopback.read;
 import static mastdrift.net.Loopback.write;
@@ -43,7 +43,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import mastdrift.net.Loopback.Message;
-import mastdrift.net.Loopback.Node;
+import mastdrift.net.Loopback.GatewayNode;
 import mastdrift.net.Loopback.Server;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -58,12 +58,12 @@
     @TempDir
     private Path folder;
 
-    private Node node(Server discovery, Server... hosts) throws Exception {
+    private GatewayNode node(Server discovery, Server... hosts) throws Exception {
         List<String> entries = new ArrayList<>();
         for (Server host : hosts) {
-            entries.add(entry("s" + entries.size(), host.address(), "a", "in_service"));
+            entries.add(hostEntry("s" + entries.size(), host.address(), "a", "in_service"));
         }
-        return new Node(environment(folder, discovery, list(1, true, entries.toArray(new String[0])), SETTINGS));
+        return new GatewayNode(environment(folder, discovery, hostList(1, true, entries.toArray(new String[0])), SETTINGS));
     }
 
     private static byte[] bytes(int count) {
@@ -94,7 +94,7 @@
     @ValueSource(strings = {"length", "chunks"})
     void aLongRequestPassesUnchangedAndItsConnectionIsKept(String framing) throws Exception {
         byte[] body = bytes(LONG);
-        try (Server discovery = discovery(); Server host = host("taken"); Node node = node(discovery, host)) {
+        try (Server discovery = discoveryServer(); Server host = hostResponding("taken"); GatewayNode node = node(discovery, host)) {
             Socket client = node.connect();
             for (int i = 0; i < 2; i++) {
                 if (framing.equals("length")) {
@@ -104,13 +104,13 @@
                     write(client, head("Transfer-Encoding: chunked"));
                     chunks(client.getOutputStream(), body, 70_001);
                 }
-                assertEquals("taken", Loopback.read(client).text());
+                assertEquals("taken", Loopback.read(client).bodyText());
                 Message got = await(host.received);
                 assertArrayEquals(body, got.body());
                 assertEquals("9b1f", got.header("X-Trace-Id"));
                 assertEquals("5c0f", got.header("Idempotency-Key"));
             }
-            assertEquals(1, host.accepted.size());
+            assertEquals(1, host.acceptedConnections.size());
         }
     }
 
@@ -118,7 +118,7 @@
     @ValueSource(strings = {"length", "chunks"})
     void aLongAnswerPassesUnchangedAndConnectionsAreKept(String framing) throws Exception {
         byte[] body = bytes(LONG);
-        try (Server discovery = discovery(); Server host = new Server(message -> {
+        try (Server discovery = discoveryServer(); Server host = new Server(message -> {
             boolean length = framing.equals("length");
             write(message.socket(), "HTTP/1.1 200 OK\r\nContent-Type: image/png\r\n"
                     + (length ? "Content-Length: " + LONG : "Transfer-Encoding: chunked") + "\r\n\r\n");
@@ -127,7 +127,7 @@
             } else {
                 chunks(message.socket().getOutputStream(), body, 999);
             }
-        }); Node node = node(discovery, host)) {
+        }); GatewayNode node = node(discovery, host)) {
             Socket client = node.connect();
             for (int i = 0; i < 2; i++) {
                 write(client, read(20_000));
@@ -136,7 +136,7 @@
                 assertEquals("image/png", answer.header("Content-Type"));
                 assertArrayEquals(body, answer.body());
             }
-            assertEquals(1, host.accepted.size());
+            assertEquals(1, host.acceptedConnections.size());
         }
     }
 
@@ -147,13 +147,13 @@
     void anAnswerThatMayBeLongIsPassedOnBeforeItsEnd(String framing) throws Exception {
         CountDownLatch seen = new CountDownLatch(1);
         boolean chunked = framing.contains("chunked");
-        try (Server discovery = discovery(); Server host = new Server(message -> {
+        try (Server discovery = discoveryServer(); Server host = new Server(message -> {
             write(message.socket(), "HTTP/1.1 200 OK\r\n" + framing + "\r\n\r\n" + (chunked ? "1\r\nx\r\n" : "x"));
             while (!seen.await(20, TimeUnit.MILLISECONDS)) {
                 write(message.socket(), chunked ? "1\r\nx\r\n" : "");
             }
             write(message.socket(), chunked ? "1\r\ny\r\n0\r\n\r\n" : "y".repeat(69_999));
-        }); Node node = node(discovery, host)) {
+        }); GatewayNode node = node(discovery, host)) {
             Socket client = node.connect();
             write(client, read(1_000_000));
             StringBuilder head = new StringBuilder();
@@ -177,10 +177,10 @@
     @ParameterizedTest
     @ValueSource(ints = {5, 200_000})
     void anAnswerMayLastToTheEndOfItsConnection(int length) throws Exception {
-        try (Server discovery = discovery(); Server host = new Server(message -> {
+        try (Server discovery = discoveryServer(); Server host = new Server(message -> {
             write(message.socket(), "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + "x".repeat(length));
             message.socket().close();
-        }); Node node = node(discovery, host)) {
+        }); GatewayNode node = node(discovery, host)) {
             Socket client = node.connect();
             for (int i = 0; i < 2; i++) {
                 write(client, read(20_000));
@@ -194,12 +194,12 @@
     @Test
     void anAnswerToTheEndOfItsConnectionThatIsResetIsNoWhole() throws Exception {
         CountDownLatch begun = new CountDownLatch(1);
-        try (Server discovery = discovery(); Server host = new Server(message -> {
+        try (Server discovery = discoveryServer(); Server host = new Server(message -> {
             write(message.socket(), "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + "x".repeat(100_000));
             begun.await();
             message.socket().setSoLinger(true, 0);
             message.socket().close();
-        }); Node node = node(discovery, host)) {
+        }); GatewayNode node = node(discovery, host)) {
             Socket client = node.connect();
             write(client, read(20_000));
             assertEquals(1000, client.getInputStream().readNBytes(1000).length);
@@ -212,10 +212,10 @@
     /** Guards against a partial response that passes for a complete one. */
     @Test
     void anAnswerThatBreaksOnItsWayEndsTheClientsConnection() throws Exception {
-        try (Server discovery = discovery(); Server host = new Server(message -> {
+        try (Server discovery = discoveryServer(); Server host = new Server(message -> {
             write(message.socket(), "HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n" + "x".repeat(80_000));
             message.socket().close();
-        }); Node node = node(discovery, host)) {
+        }); GatewayNode node = node(discovery, host)) {
             Socket client = node.connect();
             write(client, read(20_000));
             assertNull(Loopback.read(client));
@@ -228,15 +228,15 @@
     @Test
     void aLongRequestThatMayHaveRunIsNotSentAgain() throws Exception {
         AtomicInteger count = new AtomicInteger();
-        Loopback.Script breaks = message -> {
+        Loopback.MessageHandler breaks = message -> {
             count.incrementAndGet();
             message.socket().close();
         };
-        try (Server discovery = discovery(); Server one = new Server(breaks); Server two = new Server(breaks);
-                Node node = node(discovery, one, two)) {
-            assertEquals(502, node.ask(head("Content-Length: 100000") + "x".repeat(100_000)).status());
+        try (Server discovery = discoveryServer(); Server one = new Server(breaks); Server two = new Server(breaks);
+                GatewayNode node = node(discovery, one, two)) {
+            assertEquals(502, node.sendRequest(head("Content-Length: 100000") + "x".repeat(100_000)).status());
             assertEquals(1, count.get());
-            assertEquals(502, node.ask(post("start", 20_000, "short")).status());
+            assertEquals(502, node.sendRequest(post("start", 20_000, "short")).status());
             assertEquals(3, count.get());
         }
     }
@@ -244,12 +244,12 @@
     /** A host that can't be connected to has received nothing of the body yet. */
     @Test
     void aLongRequestGoesOnToAnotherHostWhereNoConnectionComesUp() throws Exception {
-        Server closed = host("");
+        Server closed = hostResponding("");
         closed.close();
-        try (Server discovery = discovery(); Server host = host("ok"); Node node = node(discovery, closed, closed, host)) {
+        try (Server discovery = discoveryServer(); Server host = hostResponding("ok"); GatewayNode node = node(discovery, closed, closed, host)) {
             for (int i = 0; i < 6; i++) {
-                Message answer = node.ask(head("Content-Length: 100000").replace("7f3a", "key" + i) + "x".repeat(100_000));
-                assertEquals("ok", answer.text());
+                Message answer = node.sendRequest(head("Content-Length: 100000").replace("7f3a", "key" + i) + "x".repeat(100_000));
+                assertEquals("ok", answer.bodyText());
             }
         }
     }
@@ -257,34 +257,34 @@
     /** Guards against a malformed request that a host runs. */
     @Test
     void aLongRequestThatTurnsOutBadNeverRuns() throws Exception {
-        try (Server discovery = discovery(); Server host = host("ran"); Node node = node(discovery, host)) {
+        try (Server discovery = discoveryServer(); Server host = hostResponding("ran"); GatewayNode node = node(discovery, host)) {
             Socket client = node.connect();
             write(client, head("Transfer-Encoding: chunked"));
             chunk(client.getOutputStream(), bytes(100_000), 0, 100_000);
             write(client, "zz\r\n");
             assertNull(Loopback.read(client));
-            assertNotNull(await(host.ended));
+            assertNotNull(await(host.closedConnections));
             assertTrue(host.received.isEmpty());
         }
     }
 
     @Test
     void aClientThatLeavesInTheMiddleEndsTheAttempt() throws Exception {
-        try (Server discovery = discovery(); Server host = new Server(message -> {
+        try (Server discovery = discoveryServer(); Server host = new Server(message -> {
             write(message.socket(), "HTTP/1.1 200 OK\r\nContent-Length: 30000000\r\n\r\n" + "x".repeat(100_000));
-        }); Node node = node(discovery, host)) {
+        }); GatewayNode node = node(discovery, host)) {
             Socket client = node.connect();
             write(client, read(20_000));
             assertEquals(100, client.getInputStream().readNBytes(100).length);
             client.close();
-            assertNotNull(await(host.ended));
+            assertNotNull(await(host.closedConnections));
         }
     }
 
     /** Guards against a response that gets lost while the client still sends: the rest is read before the close. */
     @Test
     void anAnswerAheadOfTheBodysEndArrives() throws Exception {
-        try (Server discovery = discovery(); Node node = node(discovery)) {
+        try (Server discovery = discoveryServer(); GatewayNode node = node(discovery)) {
             Socket client = node.connect();
             write(client, head("Content-Length: 1000000"));
             Message answer = Loopback.read(client);
@@ -298,7 +298,7 @@
     @ParameterizedTest
     @ValueSource(ints = {10, 200_000})
     void aClientThatWaitsToBeAskedIsAsked(int length) throws Exception {
-        try (Server discovery = discovery(); Server host = host("ok"); Node node = node(discovery, host)) {
+        try (Server discovery = discoveryServer(); Server host = hostResponding("ok"); GatewayNode node = node(discovery, host)) {
             Socket client = node.connect();
             write(client, read(20_000) + head("Content-Length: " + length + "\r\nExpect: 100-continue").replace("9b1f", "2"));
             assertEquals(200, Loopback.read(client).status());
@@ -312,7 +312,7 @@
     /** Guards against a limit on the whole request that slow but permitted clients can't keep. */
     @Test
     void aBodyMayTakeItsTimeAsLongAsItComes() throws Exception {
-        try (Server discovery = discovery(); Server host = host("ok"); Node node = node(discovery, host)) {
+        try (Server discovery = discoveryServer(); Server host = hostResponding("ok"); GatewayNode node = node(discovery, host)) {
             Socket client = node.connect();
             write(client, head("Content-Length: 600000"));
             for (int i = 0; i < 60; i++) {
@@ -332,24 +332,24 @@
     @Test
     void aRelayAsksForAPauseWhileItsChannelTakesNothing() {
         EmbeddedChannel channel = new EmbeddedChannel();
-        Relay relay = new Relay();
+        BodyRelay relay = new BodyRelay();
         List<Boolean> full = new ArrayList<>();
         List<Boolean> done = new ArrayList<>();
-        relay.onPace(() -> full.add(relay.full()));
+        relay.onFullChange(() -> full.add(relay.isFull()));
         channel.unsafe().outboundBuffer().setUserDefinedWritability(1, false);
         relay.writeTo(channel, done::add);
         for (int i = 0; i < 3; i++) {
             relay.add(piece(20_000));
         }
         assertEquals(List.of(true, true), full);
-        assertTrue(relay.waits());
+        assertTrue(relay.hasUnwrittenData());
         assertNull(channel.readOutbound());
         channel.unsafe().outboundBuffer().setUserDefinedWritability(1, true);
-        relay.goOn();
-        assertFalse(relay.full());
+        relay.resumeWriting();
+        assertFalse(relay.isFull());
         assertEquals(false, full.get(full.size() - 1));
         assertTrue(done.isEmpty());
-        relay.end();
+        relay.complete();
         assertEquals(List.of(true), done);
         for (Object out = channel.readOutbound(); out != null; out = channel.readOutbound()) {
             ReferenceCountUtil.release(out);
@@ -359,11 +359,11 @@
     /** Guards against a last chunk written in the midst of the chunk before it, whose write fills the channel. */
     @Test
     void aRelaysEndComesBehindTheChunkThatFillsItsChannel() {
-        Relay relay = new Relay();
+        BodyRelay relay = new BodyRelay();
         EmbeddedChannel channel = new EmbeddedChannel(new HttpResponseEncoder(), new ChannelInboundHandlerAdapter() {
             @Override
             public void channelWritabilityChanged(ChannelHandlerContext context) {
-                relay.goOn();
+                relay.resumeWriting();
             }
         });
         channel.config().setWriteBufferWaterMark(new WriteBufferWaterMark(1, 2));
@@ -372,7 +372,7 @@
         channel.writeOutbound(head);
         List<Boolean> done = new ArrayList<>();
         relay.add(Unpooled.copiedBuffer("piece", StandardCharsets.US_ASCII));
-        relay.end();
+        relay.complete();
         relay.writeTo(channel, done::add);
         assertEquals(List.of(true), done);
         StringBuilder written = new StringBuilder();
@@ -387,7 +387,7 @@
         disconnects while its request waits. */
     @Test
     void aRelayThatFailsBeforeAnyoneWritesDropsWhatItHolds() {
-        Relay relay = new Relay();
+        BodyRelay relay = new BodyRelay();
         ByteBuf held = piece(10);
         relay.add(held);
         relay.fail();
@@ -400,13 +400,13 @@
     /** Guards against buffers that are never released. */
     @Test
     void anAbandonedRelayDropsWhatItHoldsAndWhatComes() {
-        Relay relay = new Relay();
+        BodyRelay relay = new BodyRelay();
         ByteBuf held = piece(40_000);
         ByteBuf late = piece(1);
         relay.add(held);
         relay.abandon();
         relay.add(late);
-        assertFalse(relay.full());
+        assertFalse(relay.isFull());
         assertEquals(0, held.refCnt());
         assertEquals(0, late.refCnt());
     }
--- a/src/test/java/mastdrift/net/Loopback.java
+++ b/src/test/java/mastdrift/net/Loopback.java
@@ -36,12 +36,12 @@
     /** An HTTP message as received: its start line and headers, and its body. */
     record Message(String head, byte[] body, Socket socket) {
 
-        String line() {
+        String startLine() {
             return head.lines().findFirst().orElse("");
         }
 
         int status() {
-            return Integer.parseInt(line().split(" ")[1]);
+            return Integer.parseInt(startLine().split(" ")[1]);
         }
 
         String header(String name) {
@@ -49,7 +49,7 @@
                     .map(l -> l.substring(name.length() + 1).strip()).findFirst().orElse(null);
         }
 
-        String text() {
+        String bodyText() {
             return new String(body, StandardCharsets.UTF_8);
         }
     }
@@ -107,7 +107,7 @@
         socket.getOutputStream().flush();
     }
 
-    static String answer(String status, String body) {
+    static String response(String status, String body) {
         return "HTTP/1.1 " + status + "\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
@@ -120,7 +120,7 @@
     }
 
     /** How a server reacts to a request. */
-    interface Script {
+    interface MessageHandler {
         void handle(Message message) throws Exception;
     }
 
@@ -128,19 +128,19 @@
     static final class Server implements AutoCloseable {
 
         final BlockingQueue<Message> received = new LinkedBlockingQueue<>();
-        final BlockingQueue<Socket> ended = new LinkedBlockingQueue<>();
-        final List<Socket> accepted = new CopyOnWriteArrayList<>();
+        final BlockingQueue<Socket> closedConnections = new LinkedBlockingQueue<>();
+        final List<Socket> acceptedConnections = new CopyOnWriteArrayList<>();
         private final ServerSocket socket;
-        private final Script script;
+        private final MessageHandler script;
         private final Thread accepting;
 
-        Server(Script script) throws IOException {
+        Server(MessageHandler script) throws IOException {
             this.script = script;
             socket = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
             accepting = run(() -> {
                 while (true) {
                     Socket connection = socket.accept();
-                    accepted.add(connection);
+                    acceptedConnections.add(connection);
                     run(() -> serve(connection));
                 }
             });
@@ -153,7 +153,7 @@
                     script.handle(next);
                 }
             }
-            ended.add(connection);
+            closedConnections.add(connection);
         }
 
         private interface Body {
@@ -185,7 +185,7 @@
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
-            for (Socket connection : accepted) {
+            for (Socket connection : acceptedConnections) {
                 connection.close();
             }
         }
@@ -193,14 +193,14 @@
 
     /** A host that can't be connected to at first: its accept queue is full until the test lets it accept. The system
         repeats a connection attempt that found the queue full after a second. */
-    static final class LateHost implements AutoCloseable {
+    static final class FullBacklogHost implements AutoCloseable {
 
         private static final int FULL_MILLIS = 500;  // far above the time that a connection on this machine takes
         private final ServerSocket socket;
         private final List<Socket> queued = new ArrayList<>();
         private final Set<Integer> own = new HashSet<>();  // the ports of this class's own connection attempts
 
-        LateHost() throws IOException {
+        FullBacklogHost() throws IOException {
             socket = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"));
             socket.setSoTimeout(WAIT_SECONDS * 1000);
             while (queues()) {
@@ -226,7 +226,7 @@
         }
 
         /** Accepts connections, and returns the first that is not this class's own. */
-        Socket open() throws IOException {
+        Socket acceptConnections() throws IOException {
             Socket first = socket.accept();
             while (own.contains(first.getPort())) {
                 first.close();
@@ -246,26 +246,26 @@
     }
 
     /** A host that responds to each request with that body. */
-    static Server host(String body) throws IOException {
-        return new Server(message -> write(message.socket(), answer("200 OK", body)));
+    static Server hostResponding(String body) throws IOException {
+        return new Server(message -> write(message.socket(), response("200 OK", body)));
     }
 
-    static String entry(String uid, String address, String zone, String state) {
+    static String hostEntry(String uid, String address, String zone, String state) {
         return "{\"uid\":\"" + uid + "\",\"endpoint\":\"" + address + "\",\"az\":\"" + zone + "\",\"model\":\"std\","
                 + "\"pod_group\":1,\"state\":\"" + state + "\",\"capacity_hint\":1.0,\"boot_ms\":0}";
     }
 
-    static String list(int rev, boolean all, String... entries) {
+    static String hostList(int rev, boolean all, String... entries) {
         return "{\"rev\":" + rev + ",\"all\":" + all + ",\"targets\":[" + String.join(",", entries) + "]}";
     }
 
     /** A discovery server that keeps every watch open until the test closes it. */
-    static Server discovery() throws IOException {
+    static Server discoveryServer() throws IOException {
         return new Server(message -> write(message.socket(), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"));
     }
 
     /** Sends a line to a watch, as a chunk of its response. */
-    static void tell(Socket watch, String line) throws IOException {
+    static void sendListLine(Socket watch, String line) throws IOException {
         synchronized (watch) {
             write(watch, Integer.toHexString(line.length() + 1) + "\r\n" + line + "\n\r\n");
         }
@@ -296,47 +296,47 @@
     }
 
     /** A gateway in this process. */
-    static final class Node implements AutoCloseable {
+    static final class GatewayNode implements AutoCloseable {
 
-        final EventLoop loop = Main.loop();
-        final EventLoop adminLoop = Main.loop();
+        final EventLoop loop = Main.newEventLoop();
+        final EventLoop adminLoop = Main.newEventLoop();
         final Life life = new Life();
         final Admin admin;
         final ByteArrayOutputStream log = new ByteArrayOutputStream();
-        final ClientSide clients;
+        final DownstreamServer server;
         private final List<Socket> sockets = new ArrayList<>();
         private final AtomicLong ahead = new AtomicLong();
 
-        Node(Map<String, String> environment) {
+        GatewayNode(Map<String, String> environment) {
             this(environment, null);
         }
 
         /** On a listening socket that is inherited; listens itself if it is null. */
-        Node(Map<String, String> environment, ServerSocketChannel passed) {
+        GatewayNode(Map<String, String> environment, ServerSocketChannel passed) {
             Config config = Config.read(environment);
             Tally tally = config.tally();
             admin = config.admin() == null ? null : Admin.open(config.admin(), adminLoop, life, tally);
             PrintStream out = new PrintStream(log, true, StandardCharsets.UTF_8);
-            clients = Main.prepare(config, loop, () -> System.nanoTime() + ahead.get(), life, tally, out::println);
-            Main.awaitFirstList(clients.gateway(), TimeUnit.SECONDS.toMillis(WAIT_SECONDS));
-            Main.listen(clients, config, passed, loop, life, out::println);
+            server = Main.createServer(config, loop, () -> System.nanoTime() + ahead.get(), life, tally, out::println);
+            Main.awaitFirstList(server.gateway(), TimeUnit.SECONDS.toMillis(WAIT_SECONDS));
+            Main.listen(server, config, passed, loop, life, out::println);
         }
 
         /** Advances the gateway's clock; timers that are set already are not affected. */
-        void jump(int millis) {
+        void advanceClock(int millis) {
             ahead.addAndGet(TimeUnit.MILLISECONDS.toNanos(millis));
         }
 
         Socket connect() throws IOException {
             Socket socket = new Socket();
-            socket.connect(clients.address());
+            socket.connect(server.address());
             socket.setSoTimeout(WAIT_SECONDS * 1000);
             sockets.add(socket);
             return socket;
         }
 
         /** Sends a request on a new connection and reads the response. */
-        Message ask(String request) throws IOException {
+        Message sendRequest(String request) throws IOException {
             Socket socket = connect();
             write(socket, request);
             return read(socket);
@@ -352,7 +352,7 @@
         }
 
         /** Sends a request to the admin address on a new connection, which has to be closed after the response. */
-        Message call(String line) throws IOException {
+        Message callAdmin(String line) throws IOException {
             try (Socket socket = new Socket(admin.address().getAddress(), admin.address().getPort())) {
                 socket.setSoTimeout(WAIT_SECONDS * 1000);
                 write(socket, line + " HTTP/1.1\r\nHost: s\r\n\r\n");
@@ -379,7 +379,7 @@
                 + "Content-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
-    static InetSocketAddress at(Server server) {
+    static InetSocketAddress addressOf(Server server) {
         return Config.address(server.address());
     }
 }
--- a/src/test/java/mastdrift/net/ReadAheadTest.java
+++ b/src/test/java/mastdrift/net/ReadAheadHandlerTest.java
@@ -11,11 +11,11 @@
 import org.junit.jupiter.api.Test;
 
 /** When input that was read in a turn of the event loop is delivered. */
-class ReadAheadTest {
+class ReadAheadHandlerTest {
 
     private static final int READS_OF_A_TURN = 16;
 
-    private final EmbeddedChannel channel = new EmbeddedChannel(new ReadAhead(new ReadAhead.Group(1 << 20), () -> true,
+    private final EmbeddedChannel channel = new EmbeddedChannel(new ReadAheadHandler(new ReadAheadHandler.MemoryBudget(1 << 20), () -> true,
             () -> 0));
 
     private void read(int pieces) {
--- a/src/test/java/mastdrift/net/ServingTest.java
+++ b/src/test/java/mastdrift/net/ServingTest.java
@@ -1,13 +1,13 @@
 package mastdrift.net;
 
 import static mastdrift.net.Loopback.SETTINGS;
-import static mastdrift.net.Loopback.answer;
+import static mastdrift.net.Loopback.response;
 import static mastdrift.net.Loopback.await;
-import static mastdrift.net.Loopback.discovery;
-import static mastdrift.net.Loopback.entry;
+import static mastdrift.net.Loopback.discoveryServer;
+import static mastdrift.net.Loopback.hostEntry;
 import static mastdrift.net.Loopback.environment;
-import static mastdrift.net.Loopback.host;
-import static mastdrift.net.Loopback.list;
+import static mastdrift.net.Loopback.hostResponding;
+import static mastdrift.net.Loopback.hostList;
 import static mastdrift.net.Loopback.post;
 import static mastdrift.net.Loopback.read;
 import static mastdrift.net.Loopback.write;
@@ -23,8 +23,8 @@
 import java.util.List;
 import java.util.concurrent.atomic.AtomicInteger;
 import mastdrift.net.Loopback.Message;
-import mastdrift.net.Loopback.Node;
-import mastdrift.net.Loopback.Script;
+import mastdrift.net.Loopback.GatewayNode;
+import mastdrift.net.Loopback.MessageHandler;
 import mastdrift.net.Loopback.Server;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -38,24 +38,24 @@
     @TempDir
     private Path folder;
 
-    private Node node(Server discovery, String... entries) throws Exception {
-        return new Node(environment(folder, discovery, list(1, true, entries), SETTINGS));
+    private GatewayNode node(Server discovery, String... entries) throws Exception {
+        return new GatewayNode(environment(folder, discovery, hostList(1, true, entries), SETTINGS));
     }
 
     private static String up(String uid, Server host) {
-        return entry(uid, host.address(), "a", "in_service");
+        return hostEntry(uid, host.address(), "a", "in_service");
     }
 
     @Test
     void aRequestAndItsAnswerPassUnchanged() throws Exception {
-        try (Server discovery = discovery(); Server host = host("{\"answer\":1}");
-                Node node = node(discovery, up("s1", host))) {
-            Message answer = node.ask(post("start", 20_000, "{\"b\": 2}"));
+        try (Server discovery = discoveryServer(); Server host = hostResponding("{\"answer\":1}");
+                GatewayNode node = node(discovery, up("s1", host))) {
+            Message answer = node.sendRequest(post("start", 20_000, "{\"b\": 2}"));
             Message got = await(host.received);
             assertEquals(200, answer.status());
-            assertEquals("{\"answer\":1}", answer.text());
-            assertEquals("POST /api/x?y=1%20z HTTP/1.1", got.line());
-            assertEquals("{\"b\": 2}", got.text());
+            assertEquals("{\"answer\":1}", answer.bodyText());
+            assertEquals("POST /api/x?y=1%20z HTTP/1.1", got.startLine());
+            assertEquals("{\"b\": 2}", got.bodyText());
             assertEquals("9b1f", got.header("X-Trace-Id"));
             assertEquals("5c0f", got.header("Idempotency-Key"));
             int left = Integer.parseInt(got.header("X-Expires-In-Ms"));
@@ -66,18 +66,18 @@
     /** HTTP/1.1 allows the absolute form for the target of any request; hosts are sent the origin form. */
     @Test
     void aWholeAddressForATargetIsServed() throws Exception {
-        try (Server discovery = discovery(); Server host = host("ok"); Node node = node(discovery, up("s1", host))) {
-            assertEquals(200, node.ask(post("once", 20_000, "x").replace("/api/x", "HTTP://s:80/api/x")).status());
-            assertEquals("POST /api/x?y=1%20z HTTP/1.1", await(host.received).line());
-            assertEquals(200, node.ask("GET http://s/ready HTTP/1.1\r\nHost: s\r\n\r\n").status());
+        try (Server discovery = discoveryServer(); Server host = hostResponding("ok"); GatewayNode node = node(discovery, up("s1", host))) {
+            assertEquals(200, node.sendRequest(post("once", 20_000, "x").replace("/api/x", "HTTP://s:80/api/x")).status());
+            assertEquals("POST /api/x?y=1%20z HTTP/1.1", await(host.received).startLine());
+            assertEquals(200, node.sendRequest("GET http://s/ready HTTP/1.1\r\nHost: s\r\n\r\n").status());
         }
     }
 
     /** Acts as {@code what} says on the first request that reaches any of the hosts, and serves the others. */
-    private static Script first(AtomicInteger count, String what) {
+    private static MessageHandler first(AtomicInteger count, String what) {
         return message -> {
             if (count.getAndIncrement() > 0) {
-                write(message.socket(), answer("200 OK", "late"));
+                write(message.socket(), response("200 OK", "late"));
             } else if (what.equals("break")) {
                 message.socket().close();
             } else {
@@ -95,9 +95,9 @@
         "HTTP/1.1 504 No~X-Never-Ran: 1~Content-Length: 0~~"})
     void whatNeverRanIsSentAgain(String what) throws Exception {
         AtomicInteger count = new AtomicInteger();
-        try (Server discovery = discovery(); Server one = new Server(first(count, what));
-                Server two = new Server(first(count, what)); Node node = node(discovery, up("s1", one), up("s2", two))) {
-            assertEquals("late", node.ask(post("once", 20_000, "x")).text());
+        try (Server discovery = discoveryServer(); Server one = new Server(first(count, what));
+                Server two = new Server(first(count, what)); GatewayNode node = node(discovery, up("s1", one), up("s2", two))) {
+            assertEquals("late", node.sendRequest(post("once", 20_000, "x")).bodyText());
             assertEquals(2, count.get());
         }
     }
@@ -106,11 +106,11 @@
     @ParameterizedTest
     @CsvSource({"s1, s2", "s2, s1"})
     void aRefusedConnectionNeverRan(String down, String up) throws Exception {
-        Server closed = host("");
+        Server closed = hostResponding("");
         closed.close();
-        try (Server discovery = discovery(); Server host = host("ok");
-                Node node = node(discovery, up(down, closed), up(up, host))) {
-            assertEquals(200, node.ask(post("once", 20_000, "x")).status());
+        try (Server discovery = discoveryServer(); Server host = hostResponding("ok");
+                GatewayNode node = node(discovery, up(down, closed), up(up, host))) {
+            assertEquals(200, node.sendRequest(post("once", 20_000, "x")).status());
         }
     }
 
@@ -121,9 +121,9 @@
         "HTTP/1.1 200 OK~Content-Length: 9~~part", "HTTP/1.1 200 OK~Content-Length: 99999~~"})
     void whatMayHaveRunIsNotSentAgain(String what) throws Exception {
         AtomicInteger count = new AtomicInteger();
-        try (Server discovery = discovery(); Server one = new Server(first(count, what));
-                Server two = new Server(first(count, what)); Node node = node(discovery, up("s1", one), up("s2", two))) {
-            assertEquals(502, node.ask(post("once", 20_000, "x")).status());
+        try (Server discovery = discoveryServer(); Server one = new Server(first(count, what));
+                Server two = new Server(first(count, what)); GatewayNode node = node(discovery, up("s1", one), up("s2", two))) {
+            assertEquals(502, node.sendRequest(post("once", 20_000, "x")).status());
             assertEquals(1, count.get());
         }
     }
@@ -133,11 +133,11 @@
     @CsvSource({"a, a, 200, 2", "a, b, 502, 1"})
     void aKeyedRequestIsSentAgainWithinItsGroupOnly(String zone, String other, int status, int sends) throws Exception {
         AtomicInteger count = new AtomicInteger();
-        Script script = first(count, "break");
-        try (Server discovery = discovery(); Server one = new Server(script); Server two = new Server(script);
-                Node node = node(discovery, entry("s1", one.address(), zone, "in_service"),
-                        entry("s2", two.address(), other, "in_service"))) {
-            assertEquals(status, node.ask(post("start", 20_000, "x")).status());
+        MessageHandler script = first(count, "break");
+        try (Server discovery = discoveryServer(); Server one = new Server(script); Server two = new Server(script);
+                GatewayNode node = node(discovery, hostEntry("s1", one.address(), zone, "in_service"),
+                        hostEntry("s2", two.address(), other, "in_service"))) {
+            assertEquals(status, node.sendRequest(post("start", 20_000, "x")).status());
             assertEquals(sends, count.get());
             for (Server host : List.of(one, two)) {
                 assertTrue(host.received.stream().allMatch(m -> "5c0f".equals(m.header("Idempotency-Key"))));
@@ -147,8 +147,8 @@
 
     @Test
     void withNoHostARequestIsRefusedAtOnceAndToldWhenToComeBack() throws Exception {
-        try (Server discovery = discovery(); Node node = node(discovery)) {
-            Message answer = node.ask(read(20_000));
+        try (Server discovery = discoveryServer(); GatewayNode node = node(discovery)) {
+            Message answer = node.sendRequest(read(20_000));
             assertEquals(503, answer.status());
             assertEquals("1", answer.header("Retry-After"));
         }
@@ -158,37 +158,37 @@
     @ParameterizedTest
     @CsvSource({"read, 503", "once, 504"})
     void aSilentHostIsGivenUpAtTheDeadline(String type, int status) throws Exception {
-        try (Server discovery = discovery(); Server host = new Server(message -> { });
-                Node node = node(discovery, up("s1", host))) {
-            Message answer = node.ask(type.equals("read") ? read(1000) : post(type, 1000, "x"));
+        try (Server discovery = discoveryServer(); Server host = new Server(message -> { });
+                GatewayNode node = node(discovery, up("s1", host))) {
+            Message answer = node.sendRequest(type.equals("read") ? read(1000) : post(type, 1000, "x"));
             assertEquals(status, answer.status());
-            assertNotNull(await(host.ended));
+            assertNotNull(await(host.closedConnections));
         }
     }
 
     /** Guards against wasted work at a host: when the client disconnects, its attempt's connection is closed. */
     @Test
     void aClientThatLeavesEndsItsAttempt() throws Exception {
-        try (Server discovery = discovery(); Server host = new Server(message -> { });
-                Node node = node(discovery, up("s1", host))) {
+        try (Server discovery = discoveryServer(); Server host = new Server(message -> { });
+                GatewayNode node = node(discovery, up("s1", host))) {
             Socket client = node.connect();
             write(client, read(60_000));
             await(host.received);
             client.close();
-            assertNotNull(await(host.ended));
-            assertEquals(1, host.accepted.size());
+            assertNotNull(await(host.closedConnections));
+            assertEquals(1, host.acceptedConnections.size());
         }
     }
 
     @Test
     void requestsOnOneConnectionAreAnsweredInOrder() throws Exception {
-        try (Server discovery = discovery(); Server host = host("ok"); Node node = node(discovery, up("s1", host))) {
+        try (Server discovery = discoveryServer(); Server host = hostResponding("ok"); GatewayNode node = node(discovery, up("s1", host))) {
             Socket client = node.connect();
             write(client, read(20_000) + "GET /none HTTP/1.1\r\n\r\n" + post("start", 20_000, "x"));
             assertEquals(200, Loopback.read(client).status());
             assertEquals(404, Loopback.read(client).status());
             assertEquals(200, Loopback.read(client).status());
-            assertTrue(await(host.received).line().startsWith("GET") && await(host.received).line().startsWith("POST"));
+            assertTrue(await(host.received).startLine().startsWith("GET") && await(host.received).startLine().startsWith("POST"));
         }
     }
 
@@ -214,8 +214,8 @@
         "400 | GET /api HTTP/1.1~X-Trace-Id: 1~X-Qos: read~X-Customer: acme~X-Expires-In-Ms: -9",
         "200 | GET /ready HTTP/1.1"})
     void badInputIsAnsweredAsSuch(int status, String request) throws Exception {
-        try (Server discovery = discovery(); Server host = host("ok"); Node node = node(discovery, up("s1", host))) {
-            Message answer = node.ask(request.replace("~", "\r\n") + "\r\n\r\n");
+        try (Server discovery = discoveryServer(); Server host = hostResponding("ok"); GatewayNode node = node(discovery, up("s1", host))) {
+            Message answer = node.sendRequest(request.replace("~", "\r\n") + "\r\n\r\n");
             assertEquals(status, answer.status());
             assertNull(host.received.peek());
         }
@@ -228,7 +228,7 @@
         "Content-Length: 5~Content-Length: 6~~12345", "Content-Length: -1~~", "Content-Length: 99999999999999999999~~",
         "Transfer-Encoding: chunked~~zz~~", "Content-Length : 5~~12345"})
     void aRequestWithoutAClearEndIsNotPassedOn(String rest) throws Exception {
-        try (Server discovery = discovery(); Server host = host("ok"); Node node = node(discovery, up("s1", host))) {
+        try (Server discovery = discoveryServer(); Server host = hostResponding("ok"); GatewayNode node = node(discovery, up("s1", host))) {
             Socket client = node.connect();
             String head = post("once", 20_000, "").replaceFirst("Content-Length.*(?s:.*)", "");
             write(client, head + rest.replace("~", "\r\n") + read(20_000));
@@ -240,8 +240,8 @@
 
     @Test
     void aBodyWhereNoneBelongsIsNotPassedOn() throws Exception {
-        try (Server discovery = discovery(); Server host = host("ok"); Node node = node(discovery, up("s1", host))) {
-            Message answer = node.ask(read(20_000).replace("\r\n\r\n", "\r\nContent-Length: 1\r\n\r\nx"));
+        try (Server discovery = discoveryServer(); Server host = hostResponding("ok"); GatewayNode node = node(discovery, up("s1", host))) {
+            Message answer = node.sendRequest(read(20_000).replace("\r\n\r\n", "\r\nContent-Length: 1\r\n\r\nx"));
             assertEquals(400, answer.status());
             assertNull(host.received.peek());
         }
@@ -251,14 +251,14 @@
         */
     @Test
     void theIdOfAnOpenRequestIsTurnedAway() throws Exception {
-        try (Server discovery = discovery(); Server host = new Server(message -> { });
-                Node node = node(discovery, up("s1", host))) {
+        try (Server discovery = discoveryServer(); Server host = new Server(message -> { });
+                GatewayNode node = node(discovery, up("s1", host))) {
             Socket first = node.connect();
             write(first, read(60_000));
             Message held = await(host.received);
-            assertEquals(409, node.ask(read(60_000)).status());
-            write(held.socket(), answer("200 OK", "mine"));
-            assertEquals("mine", Loopback.read(first).text());
+            assertEquals(409, node.sendRequest(read(60_000)).status());
+            write(held.socket(), response("200 OK", "mine"));
+            assertEquals("mine", Loopback.read(first).bodyText());
             write(first, read(60_000));
             assertNotNull(await(host.received));
         }
@@ -268,7 +268,7 @@
     @ParameterizedTest
     @ValueSource(strings = {"", "GET /api HT", "POST /api HTTP/1.1~Content-Length: 99~~part"})
     void aRequestThatDoesNotComeWholeInTimeEndsItsConnection(String part) throws Exception {
-        try (Server discovery = discovery(); Server host = host("ok"); Node node = node(discovery, up("s1", host))) {
+        try (Server discovery = discoveryServer(); Server host = hostResponding("ok"); GatewayNode node = node(discovery, up("s1", host))) {
             Socket client = node.connect();
             write(client, part.replace("~", "\r\n"));
             assertEquals(-1, client.getInputStream().read());
--- a/src/test/java/mastdrift/net/ListenerTest.java
+++ b/src/test/java/mastdrift/net/TcpServerChannelTest.java
@@ -18,23 +18,23 @@
 import org.junit.jupiter.api.Test;
 
 /** The time that a connection may have waited in the accept queue. */
-class ListenerTest {
+class TcpServerChannelTest {
 
     private static final long PAUSE = 300_000;
 
     private final AtomicLong clock = new AtomicLong(1_000_000);
     private final BlockingQueue<Long> waited = new LinkedBlockingQueue<>();
-    private final EventLoop loop = Main.loop();
-    private Listener listener;
+    private final EventLoop loop = Main.newEventLoop();
+    private TcpServerChannel listener;
 
     @BeforeEach
     void listen() throws InterruptedException {
-        listener = (Listener) new ServerBootstrap().group(loop)
-                .channelFactory(() -> new Listener(clock::get, failure -> { }))
+        listener = (TcpServerChannel) new ServerBootstrap().group(loop)
+                .channelFactory(() -> new TcpServerChannel(clock::get, failure -> { }))
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        waited.add(((TcpChannel) channel).mayHaveWaited());
+                        waited.add(((TcpChannel) channel).maxAcceptQueueMicros());
                     }
                 }).bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)).sync().channel();
     }
@@ -49,7 +49,7 @@
     }
 
     private void accept(boolean accepts) throws Exception {
-        loop.submit(() -> listener.accept(accepts)).sync();
+        loop.submit(() -> listener.setAccepting(accepts)).sync();
     }
 
     @Test
