--- a/src/main/java/mastdrift/net/BodyRelay.java
+++ b/src/main/java/mastdrift/net/BodyRelay.java
@@ -14,79 +14,79 @@
 final class BodyRelay {
 
     // A single read may exceed it.
-    private static final int HELD_BYTES_MOST = 32 << 10;
+    private static final int MAX_BUFFERED_BYTES = 32 << 10;
 
-    private final Queue<ByteBuf> pieces = new ArrayDeque<>();
-    private int held;
-    private boolean whole;
-    private boolean broken;
+    private final Queue<ByteBuf> buffers = new ArrayDeque<>();
+    private int bufferedBytes;
+    private boolean complete;
+    private boolean failed;
     private boolean abandoned;
     private boolean writing;
-    private Runnable pace = () -> { };
-    private Channel to;
-    private Consumer<Boolean> done;
+    private Runnable onFullChange = () -> { };
+    private Channel target;
+    private Consumer<Boolean> onWritten;
 
     // ---- the reading side
 
     /** {@code listener} runs when the relay becomes full and when it is no longer full. */
-    void onFullChange(Runnable then) {
-        pace = then;
+    void onFullChange(Runnable listener) {
+        onFullChange = listener;
     }
 
     /** Takes ownership of the buffer. */
-    void add(ByteBuf piece) {
+    void add(ByteBuf buffer) {
         if (abandoned || isFinished()) {
-            piece.release();
+            buffer.release();
             return;
         }
-        pieces.add(piece);
-        held += piece.readableBytes();
+        buffers.add(buffer);
+        bufferedBytes += buffer.readableBytes();
         resumeWriting();
         if (isFull()) {
-            pace.run();
+            onFullChange.run();
         }
     }
 
     /** The whole body has been added. */
     void complete() {
-        whole = !broken;
+        complete = !failed;
         resumeWriting();
     }
 
     /** The rest of the body can't be read. If no writer has been set yet, what is buffered is discarded. */
     void fail() {
-        broken = !whole;
-        if (to == null && broken) {
-            drop();
+        failed = !complete;
+        if (target == null && failed) {
+            discard();
         }
         resumeWriting();
     }
 
     boolean isFull() {
-        return held >= HELD_BYTES_MOST;
+        return bufferedBytes >= MAX_BUFFERED_BYTES;
     }
 
-    boolean whole() {
-        return whole;
+    boolean isComplete() {
+        return complete;
     }
 
     /** Whether nothing more will be added. */
     boolean isFinished() {
-        return whole || broken;
+        return complete || failed;
     }
 
     // ---- the writing side
 
     /** Writes what is buffered and what is added later; {@code listener} is told once whether all has been written. */
-    void writeTo(Channel channel, Consumer<Boolean> then) {
-        to = channel;
-        done = then;
+    void writeTo(Channel channel, Consumer<Boolean> listener) {
+        target = channel;
+        onWritten = listener;
         resumeWriting();
     }
 
     /** Whether the target channel has not taken all that was added. */
     boolean hasUnwrittenData() {
-        return held > 0 || to != null && !to.isWritable();
+        return bufferedBytes > 0 || target != null && !target.isWritable();
     }
 
     /** Writes as much as the target channel takes. A write that fills the channel calls this again while a chunk is
@@ -95,28 +95,28 @@
         if (writing) {
             return;
         }
-        boolean before = isFull();
+        boolean wasFull = isFull();
         writing = true;
-        for (Channel channel = to; channel != null && channel.isWritable() && !pieces.isEmpty(); channel = to) {
-            while (channel.isWritable() && !pieces.isEmpty()) {
-                ByteBuf piece = pieces.poll();
-                held -= piece.readableBytes();
-                channel.write(new DefaultHttpContent(piece));
+        for (Channel channel = target; channel != null && channel.isWritable() && !buffers.isEmpty(); channel = target) {
+            while (channel.isWritable() && !buffers.isEmpty()) {
+                ByteBuf buffer = buffers.poll();
+                bufferedBytes -= buffer.readableBytes();
+                channel.write(new DefaultHttpContent(buffer));
             }
             channel.flush();  // may make the channel writable again, or close it and abandon this relay
         }
         writing = false;
-        if (before && !isFull()) {
-            pace.run();
+        if (wasFull && !isFull()) {
+            onFullChange.run();
         }
-        if (to != null && pieces.isEmpty() && isFinished()) {
-            Channel last = to;
-            to = null;
-            if (broken) {
-                done.accept(false);
+        if (target != null && buffers.isEmpty() && isFinished()) {
+            Channel last = target;
+            target = null;
+            if (failed) {
+                onWritten.accept(false);
             } else {
                 last.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT)
-                        .addListener(written -> done.accept(written.isSuccess()));
+                        .addListener(written -> onWritten.accept(written.isSuccess()));
             }
         }
     }
@@ -124,14 +124,14 @@
     /** Discards what is buffered and what is added later; the writer's listener is not called any more. */
     void abandon() {
         abandoned = true;
-        to = null;
-        drop();
-        pace.run();
+        target = null;
+        discard();
+        onFullChange.run();
     }
 
-    private void drop() {
-        pieces.forEach(ByteBuf::release);
-        pieces.clear();
-        held = 0;
+    private void discard() {
+        buffers.forEach(ByteBuf::release);
+        buffers.clear();
+        bufferedBytes = 0;
     }
 }
--- a/src/main/java/mastdrift/net/ConnectionLimit.java
+++ b/src/main/java/mastdrift/net/ConnectionLimit.java
@@ -34,28 +34,28 @@
     }
 
     // By this time after a connection was accepted, the loop has read its first input.
-    private static final long LOOKED_MILLIS = 1;
+    private static final long FIRST_READ_MILLIS = 1;
 
     private final EventLoop loop;
-    private final int most;
-    private final Consumer<Boolean> accept;
-    private final Runnable pushedOut;
+    private final int maxConnections;
+    private final Consumer<Boolean> acceptSwitch;
+    private final Runnable onEvicted;
     private final Set<C> all = new HashSet<>();
     private final LinkedHashSet<C> withoutRequest = new LinkedHashSet<>();  // those without a first request, oldest first
     private final LinkedHashSet<C> idle = new LinkedHashSet<>();  // longest idle first
     private final LinkedHashSet<C> lingering = new LinkedHashSet<>();  // in a lingering close, oldest first
-    private final Set<C> unlooked = new HashSet<>();
+    private final Set<C> notYetRead = new HashSet<>();
     private C newest;  // null if that one has been closed
-    private boolean making;
+    private boolean enforcing;
     private boolean accepting = true;
 
     /** Allows about {@code maxConnections} connections. {@code acceptSwitch} is told when to accept more and when not
         to; {@code onEvicted} runs for each connection that is closed for the limit. */
-    ConnectionLimit(EventLoop loop, int most, Consumer<Boolean> accept, Runnable pushedOut) {
+    ConnectionLimit(EventLoop loop, int maxConnections, Consumer<Boolean> acceptSwitch, Runnable onEvicted) {
         this.loop = loop;
-        this.most = most;
-        this.accept = accept;
-        this.pushedOut = pushedOut;
+        this.maxConnections = maxConnections;
+        this.acceptSwitch = acceptSwitch;
+        this.onEvicted = onEvicted;
     }
 
     int size() {
@@ -64,7 +64,7 @@
 
     /** How many more connections may be accepted. */
     int remainingCapacity() {
-        return Math.max(0, most - all.size());
+        return Math.max(0, maxConnections - all.size());
     }
 
     List<C> all() {
@@ -84,20 +84,20 @@
     void add(C connection) {
         all.add(connection);
         withoutRequest.add(connection);
-        unlooked.add(connection);
+        notYetRead.add(connection);
         newest = connection;
         // A timer that one of the loop's tasks sets runs only after the loop has processed all sockets.
-        loop.execute(() -> loop.schedule(() -> looked(connection), LOOKED_MILLIS, TimeUnit.MILLISECONDS));
-        if (all.size() > most && !lingering.isEmpty()) {
-            C eldest = lingering.iterator().next();
-            lingering.remove(eldest);  // its close is reported only later, and the next new connection has to close another
-            eldest.close();
+        loop.execute(() -> loop.schedule(() -> firstReadDone(connection), FIRST_READ_MILLIS, TimeUnit.MILLISECONDS));
+        if (all.size() > maxConnections && !lingering.isEmpty()) {
+            C oldest = lingering.iterator().next();
+            lingering.remove(oldest);  // its close is reported only later, and the next new connection has to close another
+            oldest.close();
         }
         enforce();
     }
 
-    private void looked(C connection) {
-        unlooked.remove(connection);
+    private void firstReadDone(C connection) {
+        notYetRead.remove(connection);
         enforce();
     }
 
@@ -125,7 +125,7 @@
         requestReceived(connection);
         all.remove(connection);
         newest = newest == connection ? null : newest;
-        unlooked.remove(connection);
+        notYetRead.remove(connection);
         lingering.remove(connection);
         enforce();
     }
@@ -134,56 +134,56 @@
         closed before its first read, since a request may wait in its socket: while only such could be closed, no more
         are accepted. Lingering connections do not count, as a new connection replaces them. */
     void enforce() {
-        if (making) {
+        if (enforcing) {
             return;
         }
-        making = true;  // closing a connection calls this method again
+        enforcing = true;  // closing a connection calls this method again
         try {
-            makeRoom();
+            evictExcess();
         } finally {
-            making = false;
+            enforcing = false;
         }
-        accepts(!over());
+        setAccepting(!isExceeded());
     }
 
-    private boolean over() {
-        return all.size() - lingering.size() > most;
+    private boolean isExceeded() {
+        return all.size() - lingering.size() > maxConnections;
     }
 
-    private void makeRoom() {
-        while (over()) {
-            C first = first();
-            if (first == null || unlooked.contains(first) || first.hasUnprocessedInput()) {
+    private void evictExcess() {
+        while (isExceeded()) {
+            C candidate = nextToEvict();
+            if (candidate == null || notYetRead.contains(candidate) || candidate.hasUnprocessedInput()) {
                 return;
             }
-            pushedOut.run();
-            first.closeGracefully();
-            requestReceived(first);  // it may have closed by itself without being removed yet: not to be chosen again
+            onEvicted.run();
+            candidate.closeGracefully();
+            requestReceived(candidate);  // it may have closed by itself without being removed yet: not to be chosen again
         }
     }
 
     /** The connection to close next; null if all have requests in progress. */
-    private C first() {
-        C eldest = null;  // first connection that is sending a request
-        for (Set<C> waiting : List.of(withoutRequest, idle)) {
-            for (C connection : waiting) {
+    private C nextToEvict() {
+        C oldestSending = null;  // first connection that is sending a request
+        for (Set<C> group : List.of(withoutRequest, idle)) {
+            for (C connection : group) {
                 if (connection != newest && !connection.isSendingRequest()) {
                     return connection;
                 }
-                eldest = eldest == null ? connection : eldest;
+                oldestSending = oldestSending == null ? connection : oldestSending;
             }
         }
-        return awaitingRequest(newest) && !newest.isSendingRequest() ? newest : eldest;
+        return awaitingRequest(newest) && !newest.isSendingRequest() ? newest : oldestSending;
     }
 
     private boolean awaitingRequest(C connection) {
         return withoutRequest.contains(connection) || idle.contains(connection);
     }
 
-    private void accepts(boolean wanted) {
+    private void setAccepting(boolean wanted) {
         if (accepting != wanted) {
             accepting = wanted;
-            accept.accept(wanted);
+            acceptSwitch.accept(wanted);
         }
     }
 }
--- a/src/main/java/mastdrift/net/DownstreamServer.java
+++ b/src/main/java/mastdrift/net/DownstreamServer.java
@@ -55,68 +55,68 @@
     event loop's thread alone. */
 final class DownstreamServer {
 
-    private static final int BACKLOG_CONNECTIONS = 1024;
-    private static final int PIPELINED_REQUESTS_MOST = 8;
+    private static final int ACCEPT_BACKLOG = 1024;
+    private static final int MAX_PIPELINED_REQUESTS = 8;
     // A client that reads nothing of its response for this long is taken to be gone.
-    private static final int WRITE_SECONDS = 10;
+    private static final int WRITE_TIMEOUT_SECONDS = 10;
     // The system would grow the send buffer to megabytes and report it writable only once a third of it is free: a
     // client that reads 64 kB a second would seem to read nothing for longer than the write timeout.
     private static final int SEND_BUFFER_BYTES = 128 << 10;
     // Limit, over all client connections, of what is read ahead of its turn.
-    private static final int AHEAD_BYTES_MOST = 8 << 20;
+    private static final int MAX_READ_AHEAD_BYTES = 8 << 20;
     // At a shutdown, new connections arrive for a while until the load balancer in front has noticed it.
     static final long SHUTDOWN_ACCEPT_MILLIS = 500;
     // At a shutdown, open connections are served for up to MAX_SHUTDOWN_SERVE_MICROS, since other gateways may be down
     // as well. All requests are answered within the longest deadline plus SHUTDOWN_ANSWER_MICROS, before the process
     // may be killed.
-    private static final long STOP_SERVING_MICROS_MOST = 1_500_000;
-    private static final long STOP_ANSWERED_MICROS = 400_000;
-    private static final long DEADLINE_COUNTED_MICROS = 3_000_000;  // longer deadlines do not delay the kill further
+    private static final long MAX_SHUTDOWN_SERVE_MICROS = 1_500_000;
+    private static final long SHUTDOWN_ANSWER_MICROS = 400_000;
+    private static final long MAX_SHUTDOWN_DEADLINE_MICROS = 3_000_000;  // longer deadlines do not delay the kill further
     // A connection that is closed gracefully reads and discards input for this long, unless its client closes before.
     private static final long LINGER_MILLIS = 2000;
     /** Kept small, since hundreds of connections may each hold a read and a write of this size. */
     static final WriteBufferWaterMark WRITE_WATER_MARK = new WriteBufferWaterMark(16 << 10, 32 << 10);
-    private static final long IDLE_MICROS_MOST = 10_000_000;  // connections without requests are not kept forever
-    private static final long SWEEP_SPAN_MICROS = LoopMonitor.SPAN_MICROS;
+    private static final long IDLE_TIMEOUT_MICROS = 10_000_000;  // connections without requests are not kept forever
+    private static final long SWEEP_INTERVAL_MICROS = LoopMonitor.SPAN_MICROS;
     // The time limit that a host is given may exceed the client's by this much; the platform tolerates 0.15 s.
-    private static final long QUEUED_SLACK_MICROS = 50_000;
+    private static final long ACCEPT_QUEUE_SLACK_MICROS = 50_000;
     // A drain has to free this gateway of clients within 4 s. New connections arrive until the load balancer in front
     // has noticed it: from DRAIN_CLOSE_MILLIS on responses close their connections, and at DRAIN_IDLE_CLOSE_MILLIS idle
     // connections are closed.
-    private static final long DRAIN_CLOSING_MILLIS = 500;
-    private static final long DRAIN_IDLE_MILLIS = 1500;
-    private static final long DRAINED_IDLE_MICROS_MOST = 250_000;
-    private static final String TRACE = "X-Trace-Id";
-    private static final String REPEAT_KEY = "Idempotency-Key";
-    private static final String EXPIRES = HostPool.EXPIRES;
+    private static final long DRAIN_CLOSE_MILLIS = 500;
+    private static final long DRAIN_IDLE_CLOSE_MILLIS = 1500;
+    private static final long DRAINED_IDLE_TIMEOUT_MICROS = 250_000;
+    private static final String TRACE_ID_HEADER = "X-Trace-Id";
+    private static final String IDEMPOTENCY_KEY_HEADER = "Idempotency-Key";
+    private static final String EXPIRES_HEADER = HostPool.EXPIRES;
     // If one of these headers came twice, the gateway and a host might use different values.
-    private static final List<String> ONCE = List.of(TRACE, REPEAT_KEY, EXPIRES, "X-Qos", "X-Customer", "X-Object");
+    private static final List<String> SINGLE_VALUE_HEADERS = List.of(TRACE_ID_HEADER, IDEMPOTENCY_KEY_HEADER, EXPIRES_HEADER, "X-Qos", "X-Customer", "X-Object");
 
     private final EventLoop loop;
     private final Gateway gateway;
-    private final Life life;
-    private final Map<String, RequestClass> classes = new HashMap<>();
+    private final Life lifecycle;
+    private final Map<String, RequestClass> requestClasses = new HashMap<>();
     private final Set<String> tenants = new HashSet<>();
     private final ConnectionLimit<ClientConnection> connections;
-    private final ReadAheadHandler.MemoryBudget ahead = new ReadAheadHandler.MemoryBudget(AHEAD_BYTES_MOST);
-    private final Set<String> open = new HashSet<>();  // trace ids of requests without a response
-    private TcpServerChannel server;
-    private boolean sweeping;
+    private final ReadAheadHandler.MemoryBudget readAheadBudget = new ReadAheadHandler.MemoryBudget(MAX_READ_AHEAD_BYTES);
+    private final Set<String> openTraceIds = new HashSet<>();  // trace ids of requests without a response
+    private TcpServerChannel serverChannel;
+    private boolean sweepScheduled;
     private boolean accepting = true;
-    private boolean shared;  // a successor process accepts from the same socket
-    private boolean closing;  // each response closes its connection
+    private boolean socketInherited;  // a successor process accepts from the same socket
+    private boolean closeAfterResponse;  // each response closes its connection
     private boolean drained;  // clients have had the time to leave: idle connections are closed soon
-    private Future<?> drain;
-    private Runnable stopped;
+    private Future<?> drainTimer;
+    private Runnable onStopped;
 
     /** Serves about {@code maxConnections} connections at a time. */
-    DownstreamServer(EventLoop loop, Gateway gateway, Settings settings, int most, Life life) {
+    DownstreamServer(EventLoop loop, Gateway gateway, Settings settings, int maxConnections, Life lifecycle) {
         this.loop = loop;
         this.gateway = gateway;
-        this.life = life;
-        connections = new ConnectionLimit<>(loop, most, this::acceptMore,
+        this.lifecycle = lifecycle;
+        connections = new ConnectionLimit<>(loop, maxConnections, this::setAccepting,
                 () -> gateway.tally().add(Tally.Count.CLIENTS_PUSHED_OUT));
-        settings.classes().forEach(type -> classes.put(type.name(), type));
+        settings.classes().forEach(type -> requestClasses.put(type.name(), type));
         settings.tenants().stream().map(Tenant::name).forEach(tenants::add);
     }
 
@@ -126,44 +126,44 @@
 
     /** Whether no input of clients is held that was read ahead of its turn. */
     boolean hasNoReadAheadData() {
-        return ahead.isUnused();
+        return readAheadBudget.isUnused();
     }
 
     InetSocketAddress address() {
-        return server.localAddress();
+        return serverChannel.localAddress();
     }
 
     /** Binds the address and accepts connections. */
-    ChannelFuture listen(InetSocketAddress at) {
-        return listening(bootstrap().channelFactory(() -> new TcpServerChannel(gateway::now, this::acceptFailed, this::accepted))
-                .bind(at));
+    ChannelFuture listen(InetSocketAddress address) {
+        return trackListener(bootstrap().channelFactory(() -> new TcpServerChannel(gateway::now, this::acceptFailed, this::acceptEnded))
+                .bind(address));
     }
 
     /** Accepts connections from a listening socket that predecessor and successor processes share. */
-    ChannelFuture listenOnInherited(ServerSocketChannel passed) {
-        shared = true;
-        return listening(bootstrap().channelFactory(() -> new TcpServerChannel(passed, gateway::now, this::acceptFailed, this::accepted))
+    ChannelFuture listenOnInherited(ServerSocketChannel inherited) {
+        socketInherited = true;
+        return trackListener(bootstrap().channelFactory(() -> new TcpServerChannel(inherited, gateway::now, this::acceptFailed, this::acceptEnded))
                 .register());
     }
 
     /** Keeps the channel of an attempt to listen; one that failed has none and may be repeated. */
-    private ChannelFuture listening(ChannelFuture begun) {
-        if (begun.channel() instanceof TcpServerChannel listener) {
-            server = listener;
+    private ChannelFuture trackListener(ChannelFuture started) {
+        if (started.channel() instanceof TcpServerChannel listener) {
+            serverChannel = listener;
         }
-        if (!sweeping) {
-            sweeping = true;
-            PeriodicTask.schedule(loop, SWEEP_SPAN_MICROS, this::closeOverdue, gateway::log);
+        if (!sweepScheduled) {
+            sweepScheduled = true;
+            PeriodicTask.schedule(loop, SWEEP_INTERVAL_MICROS, this::sweep, gateway::log);
         }
-        return begun;
+        return started;
     }
 
-    private void acceptMore(boolean wanted) {
-        server.setAccepting(wanted && accepting);
+    private void setAccepting(boolean wanted) {
+        serverChannel.setAccepting(wanted && accepting);
     }
 
-    private void accepted(long begunAt) {
-        gateway.loopMonitor().ended(LoopMonitor.Task.ACCEPT, begunAt);
+    private void acceptEnded(long startedAt) {
+        gateway.loopMonitor().ended(LoopMonitor.Task.ACCEPT, startedAt);
     }
 
     private void acceptFailed(Exception cause) {
@@ -177,7 +177,7 @@
 
     private ServerBootstrap bootstrap() {
         return new ServerBootstrap().group(loop)
-                .option(ChannelOption.SO_BACKLOG, BACKLOG_CONNECTIONS)
+                .option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childOption(ChannelOption.SO_SNDBUF, SEND_BUFFER_BYTES)
                 .childOption(ChannelOption.RECVBUF_ALLOCATOR, ReadAheadHandler.receiveBufferAllocator())
@@ -186,9 +186,9 @@
                     @Override
                     protected void initChannel(Channel channel) {
                         ClientConnection connection = new ClientConnection(channel);
-                        channel.pipeline().addLast(connection.reading,
-                                new ReadTimingHandler(gateway.loopMonitor(), LoopMonitor.Task.CLIENT_READ), connection.requests,
-                                new HttpResponseEncoder(), connection.assembler, new WriteTimeoutHandler(WRITE_SECONDS), connection);
+                        channel.pipeline().addLast(connection.readAhead,
+                                new ReadTimingHandler(gateway.loopMonitor(), LoopMonitor.Task.CLIENT_READ), connection.decoder,
+                                new HttpResponseEncoder(), connection.aggregator, new WriteTimeoutHandler(WRITE_TIMEOUT_SECONDS), connection);
                     }
                 });
     }
@@ -196,68 +196,68 @@
     /** Starts a drain at a standby and ends it when the gateway becomes active again. Called on the loop's thread after
         each change of the lifecycle state. */
     void lifecycleStateChanged() {
-        if (life.state() == Life.State.STANDBY && drain == null) {
+        if (lifecycle.state() == Life.State.STANDBY && drainTimer == null) {
             gateway.log("standby");
-            drain = loop.schedule(() -> {
-                closing = true;
-                drain = loop.schedule(() -> {
+            drainTimer = loop.schedule(() -> {
+                closeAfterResponse = true;
+                drainTimer = loop.schedule(() -> {
                     drained = true;
                     closeIdle();
-                }, DRAIN_IDLE_MILLIS - DRAIN_CLOSING_MILLIS, TimeUnit.MILLISECONDS);
-            }, DRAIN_CLOSING_MILLIS, TimeUnit.MILLISECONDS);
-        } else if (life.state() == Life.State.ACTIVE && drain != null) {
+                }, DRAIN_IDLE_CLOSE_MILLIS - DRAIN_CLOSE_MILLIS, TimeUnit.MILLISECONDS);
+            }, DRAIN_CLOSE_MILLIS, TimeUnit.MILLISECONDS);
+        } else if (lifecycle.state() == Life.State.ACTIVE && drainTimer != null) {
             gateway.log("active");
-            drain.cancel(false);
-            drain = null;
-            closing = false;
+            drainTimer.cancel(false);
+            drainTimer = null;
+            closeAfterResponse = false;
             drained = false;
         }
     }
 
     /** Shuts down gracefully: serves for a moment more, then answers the requests that were accepted and closes all
-        connections. {@code onStopped} runs once that is done. */
-    void stop(Runnable then) {
-        life.stop();
-        if (server == null) {  // not listening yet: there are no clients
-            then.run();
+        connections. {@code callback} runs once that is done. */
+    void stop(Runnable callback) {
+        lifecycle.stop();
+        if (serverChannel == null) {  // not listening yet: there are no clients
+            callback.run();
             return;
         }
-        if (drain != null) {
-            drain.cancel(false);
+        if (drainTimer != null) {
+            drainTimer.cancel(false);
         }
-        long longest = classes.values().stream().mapToLong(RequestClass::deadline).max().orElse(0);
-        gateway.setAnswerDeadline(gateway.now() + shutdownAnswerMicros(longest));
-        if (shared) {
+        long longestDeadline = requestClasses.values().stream().mapToLong(RequestClass::deadline).max().orElse(0);
+        gateway.setAnswerDeadline(gateway.now() + shutdownAnswerMicros(longestDeadline));
+        if (socketInherited) {
             // The successor accepts from now on. The socket is descriptor 0 and stays open: if it were closed, the
             // virtual machine would redirect the descriptors and the log would be lost.
-            closing = true;
+            closeAfterResponse = true;
             accepting = false;
-            server.setAccepting(false);
+            serverChannel.setAccepting(false);
             gateway.retire();
         } else {
-            loop.schedule(() -> server.drainAndClose(connections.remainingCapacity()), SHUTDOWN_ACCEPT_MILLIS,
+            loop.schedule(() -> serverChannel.drainAndClose(connections.remainingCapacity()), SHUTDOWN_ACCEPT_MILLIS,
                     TimeUnit.MILLISECONDS);
         }
         loop.schedule(() -> {
-            closing = true;
+            closeAfterResponse = true;
             closeIdle();
-            stopped = then;
-            checkStopped();
-        }, shutdownServeMicros(longest), TimeUnit.MICROSECONDS);
-        loop.schedule(() -> connections.awaitingRequest().forEach(ClientConnection::closeGracefully), shutdownAnswerMicros(longest),
+            onStopped = callback;
+            notifyIfStopped();
+        }, shutdownServeMicros(longestDeadline), TimeUnit.MICROSECONDS);
+        loop.schedule(() -> connections.awaitingRequest().forEach(ClientConnection::closeGracefully), shutdownAnswerMicros(longestDeadline),
                 TimeUnit.MICROSECONDS);
     }
 
     /** From the start of a shutdown until all requests are answered: less than until the kill, which comes 0.7 s plus
         the longest deadline after the start. */
     static long shutdownAnswerMicros(long longestDeadline) {
-        return STOP_ANSWERED_MICROS + Math.min(longestDeadline, DEADLINE_COUNTED_MICROS);
+        return SHUTDOWN_ANSWER_MICROS + Math.min(longestDeadline, MAX_SHUTDOWN_DEADLINE_MICROS);
     }
 
     /** From the start of a shutdown until connections close and no request is accepted: leaves the last request a third
         of the time until all are answered. */
     static long shutdownServeMicros(long longestDeadline) {
-        return Math.min(STOP_SERVING_MICROS_MOST, shutdownAnswerMicros(longestDeadline) * 2 / 3);
+        return Math.min(MAX_SHUTDOWN_SERVE_MICROS, shutdownAnswerMicros(longestDeadline) * 2 / 3);
     }
 
     /** Closes connections without a request. Those that are sending one are closed after its response. */
@@ -265,21 +265,21 @@
         connections.awaitingRequest().stream().filter(connection -> !connection.isSendingRequest()).forEach(ClientConnection::closeGracefully);
     }
 
-    private void closeOverdue() {
+    private void sweep() {
         LoopMonitor monitor = gateway.loopMonitor();
         monitor.look();
         long now = monitor.begin();
-        if (server != null) {
-            server.pollUnlessNotified();
+        if (serverChannel != null) {
+            serverChannel.pollUnlessNotified();
         }
-        connections.all().forEach(connection -> connection.closeOverdue(now));
+        connections.all().forEach(connection -> connection.enforceTimeouts(now));
         connections.enforce();  // input that prevented an eviction may have been processed since
         monitor.ended(LoopMonitor.Task.SWEEP, now);
     }
 
-    private void checkStopped() {
-        if (stopped != null && connections.size() == 0) {
-            stopped.run();
+    private void notifyIfStopped() {
+        if (onStopped != null && connections.size() == 0) {
+            onStopped.run();
         }
     }
 
@@ -290,13 +290,13 @@
     }
 
     /** A request that waits for its turn on its connection; {@code bodyRelay} is null if it is complete. */
-    private record PendingRequest(FullHttpRequest message, BodyRelay rest, long at) {
+    private record PendingRequest(FullHttpRequest request, BodyRelay bodyRelay, long receivedAt) {
 
         /** Releases a request that is not going to be handled. */
-        private void drop() {
-            message.release();
-            if (rest != null) {
-                rest.abandon();
+        private void discard() {
+            request.release();
+            if (bodyRelay != null) {
+                bodyRelay.abandon();
             }
         }
     }
@@ -305,7 +305,7 @@
     private static final class RequestDecoder extends HttpRequestDecoder {
 
         /** Whether bytes have been read that were not decoded to a part of a request yet. */
-        boolean midway() {
+        boolean hasPartialInput() {
             return actualReadableBytes() > 0;
         }
     }
@@ -315,22 +315,22 @@
             implements Gateway.Client, ConnectionLimit.Evictable {
 
         private final Channel channel;
-        private final ReadAheadHandler reading = new ReadAheadHandler(ahead, this::departureMatters, gateway::now);
-        private final RequestDecoder requests = new RequestDecoder();
-        private final MessageAggregator assembler = new MessageAggregator();
-        private final RequestReadTimer arrival = new RequestReadTimer();
-        private final Queue<PendingRequest> waiting = new ArrayDeque<>();
-        private FullHttpRequest current;
-        private BodyRelay currentRest;  // null if the current request was complete when it was passed on
-        private BodyRelay coming;  // of the request that is being read, the current one or a later one
-        private BodyRelay going;  // of the response that is being written
-        private boolean expects;  // the client waits for a 100 response before it sends the body
+        private final ReadAheadHandler readAhead = new ReadAheadHandler(readAheadBudget, this::isDisconnectRelevant, gateway::now);
+        private final RequestDecoder decoder = new RequestDecoder();
+        private final MessageAggregator aggregator = new MessageAggregator();
+        private final RequestReadTimer readTimer = new RequestReadTimer();
+        private final Queue<PendingRequest> pendingRequests = new ArrayDeque<>();
+        private FullHttpRequest currentRequest;
+        private BodyRelay currentBody;  // null if the current request was complete when it was passed on
+        private BodyRelay incomingBody;  // of the request that is being read, the current one or a later one
+        private BodyRelay outgoingBody;  // of the response that is being written
+        private boolean continueExpected;  // the client waits for a 100 response before it sends the body
         private Gateway.Exchange exchange;
-        private String id;
-        private boolean read;  // since the last channelReadComplete
-        private boolean asked;  // at least one request was submitted to the gateway
-        private boolean over;  // no further requests are handled
-        private CloseReason reason = CloseReason.CLIENT;
+        private String traceId;
+        private boolean requestRead;  // since the last channelReadComplete
+        private boolean requestSubmitted;  // at least one request was submitted to the gateway
+        private boolean outputShutDown;  // no further requests are handled
+        private CloseReason closeReason = CloseReason.CLIENT;
         private Throwable failure;  // of a read or write
         private long idleSince = gateway.now();
 
@@ -339,27 +339,27 @@
         }
 
         /** Pauses reading while enough requests wait or the relay of the incoming body is full. */
-        private void pace() {
-            boolean takes = waiting.size() <= PIPELINED_REQUESTS_MOST && (coming == null || !coming.isFull());
-            if (arrival.setPaused(!takes, gateway.now())) {
-                reading.setPaused(!takes);
+        private void updateReadPause() {
+            boolean mayRead = pendingRequests.size() <= MAX_PIPELINED_REQUESTS && (incomingBody == null || !incomingBody.isFull());
+            if (readTimer.setPaused(!mayRead, gateway.now())) {
+                readAhead.setPaused(!mayRead);
             }
         }
 
         /** Whether a disconnect of the client could still prevent something from being sent to a host. That is not so
             only while the current request's body is read and streamed to a host: no later request can have arrived. */
-        private boolean departureMatters() {
-            return exchange == null || !exchange.isRequestStreaming() || coming != currentRest;
+        private boolean isDisconnectRelevant() {
+            return exchange == null || !exchange.isRequestStreaming() || incomingBody != currentBody;
         }
 
         @Override
         public boolean isSendingRequest() {
-            return arrival.isRunning() || hasUnprocessedInput();
+            return readTimer.isRunning() || hasUnprocessedInput();
         }
 
         @Override
         public boolean hasUnprocessedInput() {
-            return reading.hasBufferedData();
+            return readAhead.hasBufferedData();
         }
 
         @Override
@@ -376,18 +376,18 @@
 
         /** Closes the connection if it has been idle, or has been sending a request, for too long. Sends no 408
             response, which might cross a request and be taken for its response. */
-        private void closeOverdue(long now) {
-            boolean asked = !connections.hasSentNoRequest(this);
-            long idleMost = drained ? DRAINED_IDLE_MICROS_MOST : asked ? IDLE_MICROS_MOST : RequestReadTimer.HEAD_TIMEOUT_MICROS;
-            if (over) {
+        private void enforceTimeouts(long now) {
+            boolean hasSentRequest = !connections.hasSentNoRequest(this);
+            long idleTimeout = drained ? DRAINED_IDLE_TIMEOUT_MICROS : hasSentRequest ? IDLE_TIMEOUT_MICROS : RequestReadTimer.HEAD_TIMEOUT_MICROS;
+            if (outputShutDown) {
                 return;  // a timer closes it
             }
-            reading.updateAutoRead();
-            reading.readUnlessNotified();
-            if (!isSendingRequest() && current == null && now - idleSince > idleMost) {
+            readAhead.updateAutoRead();
+            readAhead.readUnlessNotified();
+            if (!isSendingRequest() && currentRequest == null && now - idleSince > idleTimeout) {
                 closeGracefully();
-            } else if (arrival.isRunning() && (current == null || coming != null)
-                    && arrival.isExpired(now, asked ? 0 : idleSince, assembler.bytes())) {
+            } else if (readTimer.isRunning() && (currentRequest == null || incomingBody != null)
+                    && readTimer.isExpired(now, hasSentRequest ? 0 : idleSince, aggregator.bytes())) {
                 close(CloseReason.REQUEST_TOO_SLOW);  // an incomplete request needs no response
             }
         }
@@ -398,96 +398,96 @@
             connection ended. */
         @Override
         public void closeGracefully() {
-            if (over || !channel.isActive()) {
+            if (outputShutDown || !channel.isActive()) {
                 return;
             }
-            over = true;
-            drop();
-            reading.discardInput();
+            outputShutDown = true;
+            discardPending();
+            readAhead.discardInput();
             ((DuplexChannel) channel).shutdownOutput();
             connections.startedLingering(this);
             loop.schedule(() -> channel.close(), LINGER_MILLIS, TimeUnit.MILLISECONDS);
         }
 
-        private void drop() {
-            waiting.forEach(PendingRequest::drop);
-            waiting.clear();
+        private void discardPending() {
+            pendingRequests.forEach(PendingRequest::discard);
+            pendingRequests.clear();
         }
 
         /** Closes the connection at once, for a reason other than the client's. */
-        private void close(CloseReason why) {
-            reason = why;
+        private void close(CloseReason reason) {
+            closeReason = reason;
             channel.close();
         }
 
         /** Logs the end of the connection if requests on it were not answered. */
-        private void noteEnd() {
-            if (exchange == null && waiting.isEmpty()) {
+        private void logUnanswered() {
+            if (exchange == null && pendingRequests.isEmpty()) {
                 return;
             }
-            if (reason != CloseReason.CLIENT) {
+            if (closeReason != CloseReason.CLIENT) {
                 gateway.tally().add(Tally.Count.UNANSWERED);
             }
-            gateway.eventLog().add(EventLog.Event.CLIENT_GONE, "trace", id, "reason", reason, "cause", failure, "waiting",
-                    waiting.size());
+            gateway.eventLog().add(EventLog.Event.CLIENT_GONE, "trace", traceId, "reason", closeReason, "cause", failure, "waiting",
+                    pendingRequests.size());
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            noteEnd();
+            logUnanswered();
             connections.remove(this);
-            open.remove(id);
-            drop();
+            openTraceIds.remove(traceId);
+            discardPending();
             if (exchange != null) {
                 exchange.clientLeft();
             }
-            if (currentRest != null) {
-                currentRest.abandon();
+            if (currentBody != null) {
+                currentBody.abandon();
             }
-            if (going != null) {
-                going.abandon();
+            if (outgoingBody != null) {
+                outgoingBody.abandon();
             }
-            checkStopped();
+            notifyIfStopped();
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, MessageAggregator.AggregatedMessage part) {
-            if (over) {  // decoded from the same read as the request that ended the connection
-                new PendingRequest((FullHttpRequest) part.message(), part.bodyRelay(), 0).drop();
+            if (outputShutDown) {  // decoded from the same read as the request that ended the connection
+                new PendingRequest((FullHttpRequest) part.message(), part.bodyRelay(), 0).discard();
                 return;
             }
-            read = true;
+            requestRead = true;
             connections.requestReceived(this);
-            coming = part.bodyRelay();
-            if (coming == null) {
-                expects = false;
-                arrival.stop();
+            incomingBody = part.bodyRelay();
+            if (incomingBody == null) {
+                continueExpected = false;
+                readTimer.stop();
             } else {
-                arrival.start(gateway.now());
-                coming.onFullChange(this::pace);
+                readTimer.start(gateway.now());
+                incomingBody.onFullChange(this::updateReadPause);
             }
-            waiting.add(new PendingRequest((FullHttpRequest) part.message(), coming, gateway.now()));
-            pace();
-            if (current == null) {
-                next();
+            pendingRequests.add(new PendingRequest((FullHttpRequest) part.message(), incomingBody, gateway.now()));
+            updateReadPause();
+            if (currentRequest == null) {
+                startNextRequest();
             }
         }
 
         /** Starts the read timer if a part of a request has been read, alone or after a complete one. */
         @Override
         public void channelReadComplete(ChannelHandlerContext context) {
-            arrival.dataReceived(gateway.now());
-            if (coming != null && coming.isFinished()) {
-                boolean whole = coming.whole();
-                coming = null;
-                arrival.stop();
-                if (!whole) {
+            readTimer.dataReceived(gateway.now());
+            if (incomingBody != null && incomingBody.isFinished()) {
+                boolean complete = incomingBody.isComplete();
+                incomingBody = null;
+                readTimer.stop();
+                if (!complete) {
                     close(CloseReason.REQUEST_BROKEN);
                 }
-            } else if (!over && (!read || requests.midway() || assembler.hasIncompleteMessage())) {
-                arrival.start(gateway.now());
+            } else if (!outputShutDown && (!requestRead || decoder.hasPartialInput() || aggregator.hasIncompleteMessage())) {
+                readTimer.start(gateway.now());
             }
-            read = false;
+            requestRead = false;
         }
 
         /** Notes deferred writes, and clients that expect a 100 response before they send a body. */
@@ -495,18 +495,18 @@
         public void userEventTriggered(ChannelHandlerContext context, Object event) {
             if (event == TcpChannel.WriteDeferred.INSTANCE) {
                 gateway.tally().add(Tally.Count.WRITES_DEFERRED);
-                gateway.eventLog().add(EventLog.Event.WRITE_DEFERRED, "trace", id);
+                gateway.eventLog().add(EventLog.Event.WRITE_DEFERRED, "trace", traceId);
             }
             if (event == MessageAggregator.Event.CONTINUE_EXPECTED) {
-                expects = true;
-                askForBody();
+                continueExpected = true;
+                sendContinueIfDue();
             }
         }
 
         /** Sends a 100 response once it is the turn of the request that expects it. */
-        private void askForBody() {
-            if (expects && (current == null || currentRest == coming && coming != null)) {
-                expects = false;
+        private void sendContinueIfDue() {
+            if (continueExpected && (currentRequest == null || currentBody == incomingBody && incomingBody != null)) {
+                continueExpected = false;
                 channel.writeAndFlush(new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE,
                         Unpooled.EMPTY_BUFFER));
             }
@@ -514,51 +514,51 @@
 
         @Override
         public void channelWritabilityChanged(ChannelHandlerContext context) {
-            if (going != null) {
-                going.resumeWriting();
+            if (outgoingBody != null) {
+                outgoingBody.resumeWriting();
             }
         }
 
-        private void next() {
-            PendingRequest arrived = waiting.poll();
-            pace();
-            if (arrived == null && stopped != null && !isSendingRequest()) {
+        private void startNextRequest() {
+            PendingRequest next = pendingRequests.poll();
+            updateReadPause();
+            if (next == null && onStopped != null && !isSendingRequest()) {
                 closeGracefully();
                 return;
             }
-            if (arrived == null) {
+            if (next == null) {
                 connections.becameIdle(this);
                 idleSince = gateway.now();
-                askForBody();
+                sendContinueIfDue();
                 return;
             }
             connections.requestReceived(this);
-            current = arrived.message;
-            currentRest = arrived.rest;
-            askForBody();
+            currentRequest = next.request;
+            currentBody = next.bodyRelay;
+            sendContinueIfDue();
             try {
-                begin(arrived);
+                handleRequest(next);
             } finally {
-                arrived.message.release();
+                next.request.release();
             }
         }
 
-        private void begin(PendingRequest arrived) {
-            FullHttpRequest message = arrived.message;
-            Throwable fault = message.decoderResult().cause();
-            message.setUri(originForm(message.uri()));
-            String path = new QueryStringDecoder(message.uri()).rawPath();
-            if (fault != null) {
-                boolean body = fault instanceof TooLongFrameException && "body".equals(fault.getMessage());
-                plain(body ? HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE : HttpResponseStatus.BAD_REQUEST, true);
+        private void handleRequest(PendingRequest pending) {
+            FullHttpRequest request = pending.request;
+            Throwable decodeError = request.decoderResult().cause();
+            request.setUri(originForm(request.uri()));
+            String path = new QueryStringDecoder(request.uri()).rawPath();
+            if (decodeError != null) {
+                boolean bodyTooLong = decodeError instanceof TooLongFrameException && "body".equals(decodeError.getMessage());
+                writeEmptyResponse(bodyTooLong ? HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE : HttpResponseStatus.BAD_REQUEST, true);
             } else if (path.equals("/ready")) {
-                boolean get = message.method().equals(HttpMethod.GET);
-                plain(!get ? HttpResponseStatus.METHOD_NOT_ALLOWED
-                        : life.ready() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE, false);
+                boolean get = request.method().equals(HttpMethod.GET);
+                writeEmptyResponse(!get ? HttpResponseStatus.METHOD_NOT_ALLOWED
+                        : lifecycle.ready() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE, false);
             } else if (path.equals("/api") || path.startsWith("/api/")) {
-                take(message, gateway.now() - arrived.at);
+                submit(request, gateway.now() - pending.receivedAt);
             } else {
-                plain(HttpResponseStatus.NOT_FOUND, false);
+                writeEmptyResponse(HttpResponseStatus.NOT_FOUND, false);
             }
         }
 
@@ -569,54 +569,54 @@
             return path < 0 ? "/" : uri.substring(path);
         }
 
-        private void take(FullHttpRequest message, long waited) {
-            HttpHeaders headers = message.headers();
-            RequestClass type = classes.get(headers.get("X-Qos", ""));
+        private void submit(FullHttpRequest request, long waited) {
+            HttpHeaders headers = request.headers();
+            RequestClass requestClass = requestClasses.get(headers.get("X-Qos", ""));
             String tenant = headers.get("X-Customer");
-            long expires = number(headers.get(EXPIRES));
-            String trace = headers.get(TRACE, "");
-            boolean keyed = type != null && type.idempotency() == Idempotency.KEYED;
-            boolean bad = type == null || expires <= 0 || !tenants.isEmpty() && !tenants.contains(tenant)
-                    || !passable(trace) || !passable(message.uri()) || !passable(headers.get(REPEAT_KEY, keyed ? "" : "-"))
-                    || ONCE.stream().anyMatch(name -> headers.getAll(name).size() > 1);
-            if (message.method().equals(HttpMethod.GET) && (message.content().isReadable() || currentRest != null)) {
-                plain(HttpResponseStatus.BAD_REQUEST, true);  // a host that ignores the body would read it as a request
-            } else if (!message.method().equals(HttpMethod.GET) && !message.method().equals(HttpMethod.POST)
-                    || !bad && message.method().equals(HttpMethod.GET) != (type.idempotency() == Idempotency.SAFE)) {
-                plain(HttpResponseStatus.METHOD_NOT_ALLOWED, false);
-            } else if (bad) {
-                plain(HttpResponseStatus.BAD_REQUEST, false);
-            } else if (!open.add(trace)) {
-                plain(HttpResponseStatus.CONFLICT, false);  // responses with one id could be confused
+            long expiresInMillis = parseNumber(headers.get(EXPIRES_HEADER));
+            String trace = headers.get(TRACE_ID_HEADER, "");
+            boolean keyed = requestClass != null && requestClass.idempotency() == Idempotency.KEYED;
+            boolean invalid = requestClass == null || expiresInMillis <= 0 || !tenants.isEmpty() && !tenants.contains(tenant)
+                    || !isForwardable(trace) || !isForwardable(request.uri()) || !isForwardable(headers.get(IDEMPOTENCY_KEY_HEADER, keyed ? "" : "-"))
+                    || SINGLE_VALUE_HEADERS.stream().anyMatch(name -> headers.getAll(name).size() > 1);
+            if (request.method().equals(HttpMethod.GET) && (request.content().isReadable() || currentBody != null)) {
+                writeEmptyResponse(HttpResponseStatus.BAD_REQUEST, true);  // a host that ignores the body would read it as a request
+            } else if (!request.method().equals(HttpMethod.GET) && !request.method().equals(HttpMethod.POST)
+                    || !invalid && request.method().equals(HttpMethod.GET) != (requestClass.idempotency() == Idempotency.SAFE)) {
+                writeEmptyResponse(HttpResponseStatus.METHOD_NOT_ALLOWED, false);
+            } else if (invalid) {
+                writeEmptyResponse(HttpResponseStatus.BAD_REQUEST, false);
+            } else if (!openTraceIds.add(trace)) {
+                writeEmptyResponse(HttpResponseStatus.CONFLICT, false);  // responses with one id could be confused
             } else {
-                id = trace;
-                long left = Math.min(expires * 1000, type.deadline()) - waited - queued();
-                long work = Math.max(0, number(headers.get("X-Size-Hint")));
-                Gateway.Exchange taken = gateway.submit(this, message, currentRest, type.name(), tenant,
-                        key(headers.get("X-Object")), left, "1".equals(headers.get("X-Second-Try")), work);
-                if (taken != null) {  // otherwise it was answered, and the next request may have been submitted already
-                    exchange = taken;
+                traceId = trace;
+                long timeLeft = Math.min(expiresInMillis * 1000, requestClass.deadline()) - waited - acceptQueueMicros();
+                long work = Math.max(0, parseNumber(headers.get("X-Size-Hint")));
+                Gateway.Exchange accepted = gateway.submit(this, request, currentBody, requestClass.name(), tenant,
+                        hashKey(headers.get("X-Object")), timeLeft, "1".equals(headers.get("X-Second-Try")), work);
+                if (accepted != null) {  // otherwise it was answered, and the next request may have been submitted already
+                    exchange = accepted;
                 }
             }
         }
 
         /** How much of the time of a connection's first request may have passed in the accept queue: a host must not be
             given more time than the client has left, except for a tolerance of which a part is reserved for delays. */
-        private long queued() {
-            if (asked) {
+        private long acceptQueueMicros() {
+            if (requestSubmitted) {
                 return 0;
             }
-            asked = true;
-            return Math.max(0, ((TcpChannel) channel).maxAcceptQueueMicros() - QUEUED_SLACK_MICROS);
+            requestSubmitted = true;
+            return Math.max(0, ((TcpChannel) channel).maxAcceptQueueMicros() - ACCEPT_QUEUE_SLACK_MICROS);
         }
 
         /** Whether the text can be forwarded unchanged, which holds for visible ASCII characters only. */
-        private static boolean passable(String text) {
+        private static boolean isForwardable(String text) {
             return !text.isEmpty() && text.chars().allMatch(c -> c > ' ' && c <= '~');
         }
 
         /** Hashes an object's name to its key, equally at every gateway. */
-        private static Long key(String object) {
+        private static Long hashKey(String object) {
             if (object == null) {
                 return null;
             }
@@ -628,7 +628,7 @@
         }
 
         /** Parses an int; -1 for other text. */
-        private static long number(String text) {
+        private static long parseNumber(String text) {
             try {
                 return text == null ? -1 : Integer.parseInt(text.strip());
             } catch (NumberFormatException e) {
@@ -644,44 +644,44 @@
         }
 
         @Override
-        public void sendResponse(FullHttpResponse answer) {
-            ByteBuf body = answer.content().retain();
-            FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK, body);
-            keepType(answer, response);
-            write(response, false);
+        public void sendResponse(FullHttpResponse response) {
+            ByteBuf body = response.content().retain();
+            FullHttpResponse clientResponse = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK, body);
+            copyContentType(response, clientResponse);
+            writeResponse(clientResponse, false);
         }
 
-        private static void keepType(HttpResponse answer, HttpResponse response) {
-            if (answer.headers().contains(HttpHeaderNames.CONTENT_TYPE)) {
-                response.headers().set(HttpHeaderNames.CONTENT_TYPE, answer.headers().get(HttpHeaderNames.CONTENT_TYPE));
+        private static void copyContentType(HttpResponse from, HttpResponse to) {
+            if (from.headers().contains(HttpHeaderNames.CONTENT_TYPE)) {
+                to.headers().set(HttpHeaderNames.CONTENT_TYPE, from.headers().get(HttpHeaderNames.CONTENT_TYPE));
             }
         }
 
         /** Declares the body's length if it is known; otherwise sends chunks or, to a client without HTTP/1.1, a body
             that ends with the connection. */
         @Override
-        public void startStreaming(FullHttpResponse answer, BodyRelay rest, Consumer<Boolean> passed) {
-            HttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
-            keepType(answer, response);
-            boolean told = HttpUtil.isContentLengthSet(answer);
-            boolean chunks = !told && current.protocolVersion().equals(HttpVersion.HTTP_1_1);
-            if (told) {
-                HttpUtil.setContentLength(response, HttpUtil.getContentLength(answer));
-            }
-            HttpUtil.setTransferEncodingChunked(response, chunks);
-            boolean keep = keeps() && (told || chunks);
-            HttpUtil.setKeepAlive(response, keep);
-            going = rest;
-            channel.write(response);
-            channel.writeAndFlush(new DefaultHttpContent(answer.content().retain()));
-            rest.writeTo(channel, whole -> {
-                going = null;
-                passed.accept(whole);
-                if (whole) {
-                    answered(keep);
+        public void startStreaming(FullHttpResponse response, BodyRelay bodyRelay, Consumer<Boolean> onWritten) {
+            HttpResponse clientResponse = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
+            copyContentType(response, clientResponse);
+            boolean lengthKnown = HttpUtil.isContentLengthSet(response);
+            boolean chunked = !lengthKnown && currentRequest.protocolVersion().equals(HttpVersion.HTTP_1_1);
+            if (lengthKnown) {
+                HttpUtil.setContentLength(clientResponse, HttpUtil.getContentLength(response));
+            }
+            HttpUtil.setTransferEncodingChunked(clientResponse, chunked);
+            boolean keepAlive = shouldKeepAlive() && (lengthKnown || chunked);
+            HttpUtil.setKeepAlive(clientResponse, keepAlive);
+            outgoingBody = bodyRelay;
+            channel.write(clientResponse);
+            channel.writeAndFlush(new DefaultHttpContent(response.content().retain()));
+            bodyRelay.writeTo(channel, complete -> {
+                outgoingBody = null;
+                onWritten.accept(complete);
+                if (complete) {
+                    responseWritten(keepAlive);
                     return;
                 }
-                if (!told && !chunks) {  // a regular close would look like the end of the body
+                if (!lengthKnown && !chunked) {  // a regular close would look like the end of the body
                     channel.config().setOption(ChannelOption.SO_LINGER, 0);
                 }
                 close(CloseReason.ANSWER_BROKEN);
@@ -691,54 +691,54 @@
         /** The Retry-After header takes whole seconds. */
         @Override
         public void sendRefusal(long retryAfter) {
-            FullHttpResponse response = empty(HttpResponseStatus.SERVICE_UNAVAILABLE);
+            FullHttpResponse response = emptyResponse(HttpResponseStatus.SERVICE_UNAVAILABLE);
             response.headers().set(HttpHeaderNames.RETRY_AFTER, Math.max(1, (retryAfter + 999_999) / 1_000_000));
-            write(response, false);
+            writeResponse(response, false);
         }
 
         @Override
         public void sendFailure(boolean late) {
-            plain(late ? HttpResponseStatus.GATEWAY_TIMEOUT : HttpResponseStatus.BAD_GATEWAY, false);
+            writeEmptyResponse(late ? HttpResponseStatus.GATEWAY_TIMEOUT : HttpResponseStatus.BAD_GATEWAY, false);
         }
 
-        private void plain(HttpResponseStatus status, boolean close) {
-            write(empty(status), close);
+        private void writeEmptyResponse(HttpResponseStatus status, boolean close) {
+            writeResponse(emptyResponse(status), close);
         }
 
-        private static FullHttpResponse empty(HttpResponseStatus status) {
+        private static FullHttpResponse emptyResponse(HttpResponseStatus status) {
             return new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, Unpooled.EMPTY_BUFFER);
         }
 
         /** Whether the connection stays open after the response to the current request. */
-        private boolean keeps() {
-            boolean more = !closing || !waiting.isEmpty() || hasUnprocessedInput();
-            return more && HttpUtil.isKeepAlive(current) && (currentRest == null || currentRest.whole());
+        private boolean shouldKeepAlive() {
+            boolean mayContinue = !closeAfterResponse || !pendingRequests.isEmpty() || hasUnprocessedInput();
+            return mayContinue && HttpUtil.isKeepAlive(currentRequest) && (currentBody == null || currentBody.isComplete());
         }
 
-        private void write(FullHttpResponse response, boolean close) {
-            if (going != null) {  // a part of another response has been sent
+        private void writeResponse(FullHttpResponse response, boolean close) {
+            if (outgoingBody != null) {  // a part of another response has been sent
                 response.release();
                 close(CloseReason.ANSWER_BROKEN);
                 return;
             }
-            boolean keep = !close && keeps();
+            boolean keepAlive = !close && shouldKeepAlive();
             HttpUtil.setContentLength(response, response.content().readableBytes());
-            HttpUtil.setKeepAlive(response, keep);
-            channel.writeAndFlush(response).addListener(done -> answered(keep && done.isSuccess()));
+            HttpUtil.setKeepAlive(response, keepAlive);
+            channel.writeAndFlush(response).addListener(done -> responseWritten(keepAlive && done.isSuccess()));
         }
 
         /** The response has been written, whether or not the whole request had arrived. */
-        private void answered(boolean keep) {
+        private void responseWritten(boolean keepAlive) {
             exchange = null;
-            open.remove(id);
-            id = null;
-            if (currentRest != null) {
-                currentRest.abandon();  // its body has been streamed, or is not needed
-            }
-            current = null;
-            currentRest = null;
-            if (keep) {
-                next();
+            openTraceIds.remove(traceId);
+            traceId = null;
+            if (currentBody != null) {
+                currentBody.abandon();  // its body has been streamed, or is not needed
+            }
+            currentRequest = null;
+            currentBody = null;
+            if (keepAlive) {
+                startNextRequest();
             } else {
                 closeGracefully();
             }
@@ -746,12 +746,12 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            boolean clients = cause instanceof IOException || cause instanceof CodecException;
-            if (!clients && !(cause instanceof TimeoutException)) {
+            boolean causedByClient = cause instanceof IOException || cause instanceof CodecException;
+            if (!causedByClient && !(cause instanceof TimeoutException)) {
                 gateway.log("fault at a client's connection: " + cause);
             }
             failure = cause;
-            reason = cause instanceof IOException ? CloseReason.CLIENT : cause instanceof TimeoutException
+            closeReason = cause instanceof IOException ? CloseReason.CLIENT : cause instanceof TimeoutException
                     ? CloseReason.ANSWER_NOT_TAKEN : CloseReason.FAULT;
             context.close();
         }
--- a/src/main/java/mastdrift/net/Gateway.java
+++ b/src/main/java/mastdrift/net/Gateway.java
@@ -39,14 +39,14 @@
 
     // A client's deadline counts from its send, and the response still has to reach it: this much of the time is
     // reserved.
-    private static final long ANSWER_MARGIN_MICROS = 5_000;
+    private static final long RESPONSE_MARGIN_MICROS = 5_000;
     // A request that the balancer has left open for this long after its deadline is failed by the gateway.
-    private static final long BACKSTOP_MICROS = 2_000;
+    private static final long DEADLINE_GRACE_MICROS = 2_000;
     // Hosts answer probes ahead of their request queue, so a probe without a response by then has failed.
     private static final long PROBE_TIMEOUT_MICROS = 250_000;
-    private static final long TALLY_SPAN_MICROS = 5_000_000;
-    private static final long FIGURES_SPAN_MICROS = 200_000;  // metrics may lag by half a second
-    private static final String[] PASSED_ON = {"X-Trace-Id", "Idempotency-Key"};
+    private static final long COUNTS_LOG_INTERVAL_MICROS = 5_000_000;
+    private static final long GAUGE_UPDATE_INTERVAL_MICROS = 200_000;  // metrics may lag by half a second
+    private static final String[] FORWARDED_HEADERS = {"X-Trace-Id", "Idempotency-Key"};
 
     // Before an attempt, a client's connection is read again if the last check is older than this: the client may have
     // disconnected while the event loop was delayed, or the loop may handle a host's event ahead of the client's.
@@ -58,11 +58,11 @@
         boolean isConnected();
 
         /** Sends a host's complete response, which the caller releases. */
-        void sendResponse(FullHttpResponse answer);
+        void sendResponse(FullHttpResponse response);
 
         /** Sends the start of a host's response, which the caller releases, and then the rest of its body from the
             relay. {@code onWritten} is told whether all of it was written, unless the client disconnects before. */
-        void startStreaming(FullHttpResponse answer, BodyRelay rest, Consumer<Boolean> passed);
+        void startStreaming(FullHttpResponse response, BodyRelay bodyRelay, Consumer<Boolean> onWritten);
 
         /** Sends a refusal that asks the client to retry after so many microseconds. */
         void sendRefusal(long retryAfter);
@@ -73,64 +73,64 @@
 
     /** An accepted request, kept until both the request and all its attempts have ended. */
     final class Exchange {
-        private final long id = nextId++;
+        private final long id = nextRequestId++;
         private final Client client;
         private final String className;
-        private final FullHttpRequest message;
-        private final String trace;
-        private final BodyRelay rest;  // the rest of the body, null if the request is complete
-        private final long kept;
-        private long lookedAt = now();  // when the connection was last checked for a disconnect
+        private final FullHttpRequest request;
+        private final String traceId;
+        private final BodyRelay bodyRelay;  // the rest of the body, null if the request is complete
+        private final long timeBudget;
+        private long clientCheckedAt = now();  // when the connection was last checked for a disconnect
         private final List<HostPool.Attempt> attempts = new ArrayList<>(2);
-        private Future<?> backstop;
-        private long due;  // on the gateway's clock
-        private boolean coming;  // a part of the body has not arrived
-        private boolean relaying;  // the body is being sent to a host and is not kept for a retry
-        private boolean begun;  // the response has started to go out to the client
-        private int out;  // attempts whose outcome has not been reported to the balancer
-        private boolean late;
+        private Future<?> deadlineTimer;
+        private long deadline;  // on the gateway's clock
+        private boolean bodyIncomplete;  // a part of the body has not arrived
+        private boolean requestStreaming;  // the body is being sent to a host and is not kept for a retry
+        private boolean responseStreaming;  // the response has started to go out to the client
+        private int unresolvedAttempts;  // attempts whose outcome has not been reported to the balancer
+        private boolean lastAttemptExpired;
         private boolean ended;
 
-        private Exchange(Client client, String className, FullHttpRequest message, BodyRelay rest, long kept) {
+        private Exchange(Client client, String className, FullHttpRequest request, BodyRelay bodyRelay, long timeBudget) {
             this.client = client;
             this.className = className;
-            this.message = message;
-            trace = message.headers().get("X-Trace-Id");
-            this.rest = rest;
-            this.kept = kept;
-            coming = rest != null;
+            this.request = request;
+            traceId = request.headers().get("X-Trace-Id");
+            this.bodyRelay = bodyRelay;
+            this.timeBudget = timeBudget;
+            bodyIncomplete = bodyRelay != null;
         }
 
-        private void startBackstop() {
-            due = now() + kept;
-            scheduleBackstop();
+        private void startDeadline() {
+            deadline = now() + timeBudget;
+            scheduleDeadlineTimer();
         }
 
-        private void scheduleBackstop() {
-            long left = Math.min(due, answerDeadline - ANSWER_MARGIN_MICROS) - now();
-            backstop = loop.schedule(() -> overdue(this), left + BACKSTOP_MICROS, TimeUnit.MICROSECONDS);
+        private void scheduleDeadlineTimer() {
+            long remaining = Math.min(deadline, answerDeadline - RESPONSE_MARGIN_MICROS) - now();
+            deadlineTimer = loop.schedule(() -> deadlineExceeded(this), remaining + DEADLINE_GRACE_MICROS, TimeUnit.MICROSECONDS);
         }
 
         /** Applies an earlier deadline of the gateway. The timer stays off while a body is in transit: that is bounded
             by the time limits on the connection that sends it. */
-        private void boundBackstop() {
-            if (!backstop.isDone()) {
-                backstop.cancel(false);
-                scheduleBackstop();
+        private void rescheduleDeadlineTimer() {
+            if (!deadlineTimer.isDone()) {
+                deadlineTimer.cancel(false);
+                scheduleDeadlineTimer();
             }
         }
 
         /** Whether the body is being sent to a host, so that no other attempt can be made. */
         boolean isRequestStreaming() {
-            return relaying;
+            return requestStreaming;
         }
 
         /** The body has arrived, or the request has ended before: it counts as in flight, or no longer at all. */
-        private void whole() {
-            if (coming) {
-                coming = false;
-                incoming--;
-                countInFlight();
+        private void bodyComplete() {
+            if (bodyIncomplete) {
+                bodyIncomplete = false;
+                incompleteRequests--;
+                updateInFlight();
             }
         }
 
@@ -139,61 +139,61 @@
             if (!ended) {
                 tally.add(Tally.Count.DEPARTED);
                 finish(this);
-                if (rest != null || begun) {  // a streamed body has lost its source or its destination
+                if (bodyRelay != null || responseStreaming) {  // a streamed body has lost its source or its destination
                     attempts.forEach(HostPool.Attempt::cancel);
                 }
-                event(null, now -> module.clientLeft(now, id));
+                dispatch(null, now -> balancer.clientLeft(now, id));
             }
         }
     }
 
     private final EventLoop loop;
-    private final Balancer module;
-    private final Consumer<String> out;
-    private final HostPool hosts;
+    private final Balancer balancer;
+    private final Consumer<String> logOutput;
+    private final HostPool hostPool;
     private final Discovery discovery;
     private final Settings settings;
     private final Tally tally;
     private final EventLog log;
     private final LoopMonitor loopMonitor;
-    private final int openMost;
-    private final Map<Long, Exchange> ledger = new HashMap<>();
+    private final int maxOpenRequests;
+    private final Map<Long, Exchange> exchanges = new HashMap<>();
     private final Queue<Runnable> pendingEvents = new ArrayDeque<>();
     private final CompletableFuture<Void> firstListReceived = new CompletableFuture<>();
-    private boolean inEvent;
-    private long nextId = 1;
+    private boolean dispatching;
+    private long nextRequestId = 1;
     private long answerDeadline = Long.MAX_VALUE;
-    private int open;
-    private int incoming;  // of the open requests, those whose body has not arrived yet
+    private int openRequests;
+    private int incompleteRequests;  // of the open requests, those whose body has not arrived yet
     private final LongSupplier nanoTime;
-    private final long startedAt;
-    private final HostStarts starts;
+    private final long clockOffset;
+    private final HostStarts hostStarts;
 
     /** Starts the balancer; must be called on the loop's thread. {@code nanoTime} counts from an arbitrary origin.
         {@code logOutput} receives log lines and must not block. */
-    Gateway(Config config, EventLoop loop, LongSupplier nanoTime, Balancer module, Tally tally, int hostConnections,
-            int openMost, Consumer<String> out) {
+    Gateway(Config config, EventLoop loop, LongSupplier nanoTime, Balancer balancer, Tally tally, int maxHostConnections,
+            int maxOpenRequests, Consumer<String> logOutput) {
         this.loop = loop;
         this.nanoTime = nanoTime;
-        startedAt = System.currentTimeMillis() * 1000 - nanoTime.getAsLong() / 1000;
+        clockOffset = System.currentTimeMillis() * 1000 - nanoTime.getAsLong() / 1000;
         this.tally = tally;
-        this.module = module;
-        this.out = out;
+        this.balancer = balancer;
+        this.logOutput = logOutput;
         log = new EventLog(this::now, this::log);
         ThreadTimes times = new ThreadTimes();
         loop.parent().terminationFuture().addListener(ended -> times.close());
         loopMonitor = new LoopMonitor(this::now, times::read, tally, log);
-        starts = new HostStarts(this::now, () -> System.currentTimeMillis() * 1000,
+        hostStarts = new HostStarts(this::now, () -> System.currentTimeMillis() * 1000,
                 () -> log.add(EventLog.Event.CLOCK_STEPPED, "unix_ms", System.currentTimeMillis(), "steady_ms", now() / 1000));
         settings = config.settings();
-        this.openMost = Math.min(openMost, settings.limits().maxOpenRequests());
-        hosts = new HostPool(loop, this::now, loopMonitor, settings.connections().dialTimeout(), settings.connections().idleTimeout(),
-                settings.guarantees().drainGrace(), hostConnections, tally, log);
+        this.maxOpenRequests = Math.min(maxOpenRequests, settings.limits().maxOpenRequests());
+        hostPool = new HostPool(loop, this::now, loopMonitor, settings.connections().dialTimeout(), settings.connections().idleTimeout(),
+                settings.guarantees().drainGrace(), maxHostConnections, tally, log);
         discovery = new Discovery(loop, config.discovery(), config.known().rev(),
-                list -> learn(list, list.all() ? ListUpdateType.FULL : ListUpdateType.DELTA), this::listFailed);
-        PeriodicTask.schedule(loop, TALLY_SPAN_MICROS, this::logTally, this::log);
-        module.start(now(), settings, this);
-        learn(config.known(), ListUpdateType.CACHED);
+                list -> hostListReceived(list, list.all() ? ListUpdateType.FULL : ListUpdateType.DELTA), this::hostListFailed);
+        PeriodicTask.schedule(loop, COUNTS_LOG_INTERVAL_MICROS, this::logCounts, this::log);
+        balancer.start(now(), settings, this);
+        hostListReceived(config.known(), ListUpdateType.CACHED);
         if (settings.listOnRequest()) {
             firstListReceived.complete(null);
         } else {
@@ -211,7 +211,7 @@
     /** Microseconds since the Unix epoch as of the start, and steady from then on: clock changes do not affect it.
         Hosts' start times are given in Unix time. */
     long now() {
-        return startedAt + nanoTime.getAsLong() / 1000;
+        return clockOffset + nanoTime.getAsLong() / 1000;
     }
 
     /** The log of unusual events, to which the client connections add theirs. */
@@ -231,15 +231,15 @@
 
     /** Starts to update those metrics that are polled from the balancer rather than counted. */
     void startGaugeUpdates() {
-        PeriodicTask.schedule(loop, FIGURES_SPAN_MICROS, () -> tally.set(Tally.Gauge.HOSTS_EXCLUDED, module.excludedHostCount(now())), this::log);
+        PeriodicTask.schedule(loop, GAUGE_UPDATE_INTERVAL_MICROS, () -> tally.set(Tally.Gauge.HOSTS_EXCLUDED, balancer.excludedHostCount(now())), this::log);
     }
 
     /** Whether all requests and their attempts have ended and no resources are held for them. */
     boolean isIdle() {
-        return open == 0 && incoming == 0 && ledger.isEmpty() && hosts.busy() == 0;
+        return openRequests == 0 && incompleteRequests == 0 && exchanges.isEmpty() && hostPool.busy() == 0;
     }
 
-    private void logTally() {
+    private void logCounts() {
         String line = tally.line();
         if (!line.isEmpty()) {
             log(line);
@@ -248,25 +248,25 @@
 
     /** Sets the time, on the gateway's clock, by which all open and future requests are answered, since the process is
         about to end. Bodies that are being streamed may take longer. */
-    void setAnswerDeadline(long at) {
-        answerDeadline = at;
-        ledger.values().stream().filter(exchange -> !exchange.ended).forEach(Exchange::boundBackstop);
+    void setAnswerDeadline(long deadline) {
+        answerDeadline = deadline;
+        exchanges.values().stream().filter(exchange -> !exchange.ended).forEach(Exchange::rescheduleDeadlineTimer);
     }
 
     /** Reduces idle connections to hosts: a successor process serves new requests from now on. */
     void retire() {
-        hosts.retire();
+        hostPool.retire();
     }
 
     /** Moves discovery to another address. */
-    void setDiscoveryAddress(InetSocketAddress at) {
-        log("discovery at " + NetUtil.toSocketAddressString(at));
-        discovery.move(at);
+    void setDiscoveryAddress(InetSocketAddress address) {
+        log("discovery at " + NetUtil.toSocketAddressString(address));
+        discovery.move(address);
     }
 
     // ---- events: dispatched one after the other, never nested
 
-    private void event(Exchange exchange, LongConsumer event) {
+    private void dispatch(Exchange exchange, LongConsumer event) {
         if (!loop.inEventLoop()) {
             tally.add(Tally.Count.OFF_LOOP);
             log.add(EventLog.Event.OFF_LOOP, "thread", Thread.currentThread().getName());
@@ -280,183 +280,183 @@
                     finish(exchange);
                     tally.add(exchange.className, Tally.Ended.FAILED);
                     exchange.client.sendFailure(false);
-                    event(null, now -> module.clientLeft(now, exchange.id));
+                    dispatch(null, now -> balancer.clientLeft(now, exchange.id));
                 }
             }
         });
-        if (inEvent) {
+        if (dispatching) {
             return;
         }
-        inEvent = true;
+        dispatching = true;
         try {
             for (Runnable next = pendingEvents.poll(); next != null; next = pendingEvents.poll()) {
                 next.run();
             }
         } finally {
-            inEvent = false;  // otherwise no further event would be dispatched
+            dispatching = false;  // otherwise no further event would be dispatched
         }
     }
 
-    private void learn(HostList told, ListUpdateType form) {
-        long begunAt = loopMonitor.begin();
-        HostList list = told.withStarts(starts::place);
-        if (form != ListUpdateType.CACHED) {
-            starts.heard();
+    private void hostListReceived(HostList received, ListUpdateType type) {
+        long startedAt = loopMonitor.begin();
+        HostList list = received.withStarts(hostStarts::place);
+        if (type != ListUpdateType.CACHED) {
+            hostStarts.heard();
         }
-        hosts.update(list);
-        tally.set(Tally.Gauge.HOSTS_KNOWN, hosts.known());
+        hostPool.update(list);
+        tally.set(Tally.Gauge.HOSTS_KNOWN, hostPool.known());
         log("list " + list.rev() + ": " + list.entries().size() + (list.all() ? " hosts" : " changes"));
-        event(null, now -> module.hostListReceived(now, form, list.entries().stream().map(HostList.Entry::host).toList()));
-        loopMonitor.ended(LoopMonitor.Task.HOST_LIST, begunAt);
-        if (form != ListUpdateType.CACHED) {
+        dispatch(null, now -> balancer.hostListReceived(now, type, list.entries().stream().map(HostList.Entry::host).toList()));
+        loopMonitor.ended(LoopMonitor.Task.HOST_LIST, startedAt);
+        if (type != ListUpdateType.CACHED) {
             firstListReceived.complete(null);
         }
     }
 
-    private void listFailed(String cause) {
+    private void hostListFailed(String cause) {
         log("discovery failed: " + cause);
-        event(null, now -> module.hostListReceived(now, ListUpdateType.FAILED, List.of()));
+        dispatch(null, now -> balancer.hostListReceived(now, ListUpdateType.FAILED, List.of()));
         firstListReceived.complete(null);
     }
 
-    private void countInFlight() {
-        tally.set(Tally.Gauge.IN_FLIGHT, open - incoming);
+    private void updateInFlight() {
+        tally.set(Tally.Gauge.IN_FLIGHT, openRequests - incompleteRequests);
     }
 
     /** Accepts a request, retaining its message. {@code timeLeft} counts from the request's last byte;
         {@code bodyRelay} is null if the request is complete. Returns null if the request was answered at once. */
-    Exchange submit(Client client, FullHttpRequest message, BodyRelay rest, String className, String tenant, Long key,
-            long left, boolean repeated, long work) {
+    Exchange submit(Client client, FullHttpRequest request, BodyRelay bodyRelay, String className, String tenant, Long key,
+            long timeLeft, boolean repeated, long work) {
         tally.add(Tally.Count.TAKEN);
-        if (open >= openMost) {
+        if (openRequests >= maxOpenRequests) {
             tally.add(Tally.Count.REFUSED_AT_BOUND);
             tally.add(className, Tally.Ended.REFUSED);
             client.sendRefusal(settings.limits().maxRetryAfter());
             return null;
         }
-        long kept = Math.min(left, answerDeadline - now()) - ANSWER_MARGIN_MICROS;
-        if (kept <= 0) {
+        long timeBudget = Math.min(timeLeft, answerDeadline - now()) - RESPONSE_MARGIN_MICROS;
+        if (timeBudget <= 0) {
             tally.add(Tally.Count.OVERDUE);
             tally.add(className, Tally.Ended.FAILED);
             client.sendFailure(true);
             return null;
         }
-        Exchange exchange = new Exchange(client, className, message.retain(), rest, kept);
-        open++;
-        incoming += rest == null ? 0 : 1;
-        countInFlight();
-        tally.level(Tally.Level.OPEN_REQUESTS, open);
-        ledger.put(exchange.id, exchange);
-        exchange.startBackstop();
-        boolean write = message.method().equals(HttpMethod.POST);
-        event(exchange, now -> module.requestReceived(now,
-                new Balancer.Request(exchange.id, className, tenant, key, kept, work, repeated, write)));
+        Exchange exchange = new Exchange(client, className, request.retain(), bodyRelay, timeBudget);
+        openRequests++;
+        incompleteRequests += bodyRelay == null ? 0 : 1;
+        updateInFlight();
+        tally.level(Tally.Level.OPEN_REQUESTS, openRequests);
+        exchanges.put(exchange.id, exchange);
+        exchange.startDeadline();
+        boolean write = request.method().equals(HttpMethod.POST);
+        dispatch(exchange, now -> balancer.requestReceived(now,
+                new Balancer.Request(exchange.id, className, tenant, key, timeBudget, work, repeated, write)));
         return exchange.ended ? null : exchange;
     }
 
     /** Fails a request that the balancer has not answered by its deadline. */
-    private void overdue(Exchange exchange) {
+    private void deadlineExceeded(Exchange exchange) {
         if (!exchange.ended) {
             tally.add(Tally.Count.OVERDUE);
             finish(exchange);
-            failed(exchange, "overdue");
+            recordFailure(exchange, "overdue");
             exchange.client.sendFailure(true);
-            event(null, now -> module.clientLeft(now, exchange.id));
+            dispatch(null, now -> balancer.clientLeft(now, exchange.id));
         }
     }
 
-    private void failed(Exchange exchange, String reason) {
+    private void recordFailure(Exchange exchange, String reason) {
         tally.add(exchange.className, Tally.Ended.FAILED);
-        log.add(EventLog.Event.REQUEST_FAILED, "trace", exchange.trace, "class", exchange.className, "reason", reason,
-                "attempts", exchange.attempts.size(), "late_us", Math.max(0, now() - exchange.due));
+        log.add(EventLog.Event.REQUEST_FAILED, "trace", exchange.traceId, "class", exchange.className, "reason", reason,
+                "attempts", exchange.attempts.size(), "late_us", Math.max(0, now() - exchange.deadline));
     }
 
     private void finish(Exchange exchange) {
         exchange.ended = true;
-        exchange.backstop.cancel(false);
-        open--;
-        exchange.whole();
-        countInFlight();
-        if (!exchange.relaying) {
-            exchange.message.release();
+        exchange.deadlineTimer.cancel(false);
+        openRequests--;
+        exchange.bodyComplete();
+        updateInFlight();
+        if (!exchange.requestStreaming) {
+            exchange.request.release();
         }
-        if (exchange.rest != null) {
-            exchange.rest.abandon();
+        if (exchange.bodyRelay != null) {
+            exchange.bodyRelay.abandon();
         }
         exchange.attempts.forEach(HostPool.Attempt::withdraw);  // those that still wait for a connection are not needed
-        forget(exchange);
+        removeIfDone(exchange);
     }
 
-    private void forget(Exchange exchange) {
-        if (exchange.ended && exchange.out == 0) {
-            ledger.remove(exchange.id);
+    private void removeIfDone(Exchange exchange) {
+        if (exchange.ended && exchange.unresolvedAttempts == 0) {
+            exchanges.remove(exchange.id);
         }
     }
 
-    private void resolved(Exchange exchange, int number, String uid, long elapsed, Outcome outcome,
-            FullHttpResponse answer, LoadReport report) {
-        exchange.late = outcome == Outcome.EXPIRED;
+    private void attemptEnded(Exchange exchange, int number, String hostId, long elapsed, Outcome outcome,
+            FullHttpResponse response, LoadReport report) {
+        exchange.lastAttemptExpired = outcome == Outcome.EXPIRED;
         tally.add(outcome);
         if (outcome != Outcome.DELIVERED && !exchange.ended) {
-            log.add(EventLog.Event.ATTEMPT_FAILED, "trace", exchange.trace, "attempt", number, "host", uid, "outcome", outcome,
+            log.add(EventLog.Event.ATTEMPT_FAILED, "trace", exchange.traceId, "attempt", number, "host", hostId, "outcome", outcome,
                     "after_us", elapsed);
         }
-        if (outcome == Outcome.DELIVERED && !exchange.ended && !exchange.begun) {
+        if (outcome == Outcome.DELIVERED && !exchange.ended && !exchange.responseStreaming) {
             finish(exchange);
             tally.add(exchange.className, Tally.Ended.SERVED);
-            exchange.client.sendResponse(answer);
+            exchange.client.sendResponse(response);
         }
-        event(exchange, now -> {
-            exchange.out--;
-            forget(exchange);
-            module.attemptEnded(now, exchange.id, number, uid, outcome, elapsed, exchange.ended || exchange.begun, report);
+        dispatch(exchange, now -> {
+            exchange.unresolvedAttempts--;
+            removeIfDone(exchange);
+            balancer.attemptEnded(now, exchange.id, number, hostId, outcome, elapsed, exchange.ended || exchange.responseStreaming, report);
         });
     }
 
     /** Streams the rest of the response to the client: from now on no other attempt can answer the request. */
-    private void begun(Exchange exchange, int number, FullHttpResponse answer, BodyRelay rest) {
-        if (exchange.ended || exchange.begun) {
-            rest.abandon();
+    private void responseStarted(Exchange exchange, int number, FullHttpResponse response, BodyRelay bodyRelay) {
+        if (exchange.ended || exchange.responseStreaming) {
+            bodyRelay.abandon();
             exchange.attempts.get(number).cancel();
             return;
         }
-        exchange.begun = true;
-        exchange.backstop.cancel(false);
-        event(exchange, now -> module.streamingStarted(now, exchange.id, number));
-        exchange.client.startStreaming(answer, rest, whole -> {
+        exchange.responseStreaming = true;
+        exchange.deadlineTimer.cancel(false);
+        dispatch(exchange, now -> balancer.streamingStarted(now, exchange.id, number));
+        exchange.client.startStreaming(response, bodyRelay, complete -> {
             if (!exchange.ended) {
                 finish(exchange);
-                tally.add(exchange.className, whole ? Tally.Ended.SERVED : Tally.Ended.FAILED);
+                tally.add(exchange.className, complete ? Tally.Ended.SERVED : Tally.Ended.FAILED);
             }
         });
     }
 
-    private LoadReport report(FullHttpResponse answer) {
-        boolean given = answer != null && settings.capabilities().loadReportMode() == LoadReportMode.INLINE;
-        return LoadReports.parse(given ? answer.headers().get("Endpoint-Load-Metrics") : null);
+    private LoadReport loadReport(FullHttpResponse response) {
+        boolean inline = response != null && settings.capabilities().loadReportMode() == LoadReportMode.INLINE;
+        return LoadReports.parse(inline ? response.headers().get("Endpoint-Load-Metrics") : null);
     }
 
     // ---- actions
 
     @Override
-    public void send(long id, String uid, long timeout) {
-        Exchange exchange = ledger.get(id);
-        lookForDeparture(exchange);
+    public void send(long id, String hostId, long timeout) {
+        Exchange exchange = exchanges.get(id);
+        checkClientConnected(exchange);
         int number = exchange.attempts.size();
-        boolean refused = exchange.ended || exchange.relaying || number >= settings.limits().maxAttempts();
-        FullHttpRequest message = onward(exchange);
-        exchange.attempts.add(hosts.send(uid, message, exchange.rest, refused ? 0 : timeout,
-                new AttemptHandler(exchange, number, uid)));
-        exchange.out++;  // not before: a send that threw an exception has no outcome
+        boolean sendable = exchange.ended || exchange.requestStreaming || number >= settings.limits().maxAttempts();
+        FullHttpRequest request = upstreamRequest(exchange);
+        exchange.attempts.add(hostPool.send(hostId, request, exchange.bodyRelay, sendable ? 0 : timeout,
+                new AttemptHandler(exchange, number, hostId)));
+        exchange.unresolvedAttempts++;  // not before: a send that threw an exception has no outcome
     }
 
     /** Checks, before an attempt starts, that the client has not disconnected. */
-    private void lookForDeparture(Exchange exchange) {
+    private void checkClientConnected(Exchange exchange) {
         long now = now();
-        if (exchange.ended || now - exchange.lookedAt < CLIENT_CHECK_INTERVAL_MICROS) {
+        if (exchange.ended || now - exchange.clientCheckedAt < CLIENT_CHECK_INTERVAL_MICROS) {
             return;
         }
-        exchange.lookedAt = now;
+        exchange.clientCheckedAt = now;
         if (!exchange.client.isConnected()) {
             exchange.clientLeft();
         }
@@ -468,83 +468,83 @@
 
         private final Exchange exchange;
         private final int number;
-        private final String uid;
+        private final String hostId;
         private long sentAt = now();
-        private long begunAt;
-        private LoadReport report;
+        private long responseStartedAt;
+        private LoadReport loadReport;
 
-        AttemptHandler(Exchange exchange, int number, String uid) {
+        AttemptHandler(Exchange exchange, int number, String hostId) {
             this.exchange = exchange;
             this.number = number;
-            this.uid = uid;
+            this.hostId = hostId;
         }
 
         @Override
         public boolean mayWrite() {
-            lookForDeparture(exchange);
-            return !exchange.ended && module.mayWrite(now(), exchange.id, number);
+            checkClientConnected(exchange);
+            return !exchange.ended && balancer.mayWrite(now(), exchange.id, number);
         }
 
         @Override
         public void relaying() {
             if (!exchange.ended) {
-                exchange.relaying = true;
-                exchange.message.release();
-                exchange.backstop.cancel(false);
-                event(exchange, now -> module.streamingStarted(now, exchange.id, number));
+                exchange.requestStreaming = true;
+                exchange.request.release();
+                exchange.deadlineTimer.cancel(false);
+                dispatch(exchange, now -> balancer.streamingStarted(now, exchange.id, number));
             }
         }
 
         @Override
         public void written() {
             tally.add(Tally.Count.ATTEMPTS_WRITTEN);
-            if (exchange.rest != null && !exchange.ended) {
+            if (exchange.bodyRelay != null && !exchange.ended) {
                 sentAt = now();
-                exchange.whole();
-                exchange.startBackstop();
+                exchange.bodyComplete();
+                exchange.startDeadline();
             }
         }
 
         @Override
-        public void begun(FullHttpResponse answer, BodyRelay rest) {
-            begunAt = now();
-            report = report(answer);
-            Gateway.this.begun(exchange, number, answer, rest);
+        public void begun(FullHttpResponse response, BodyRelay bodyRelay) {
+            responseStartedAt = now();
+            loadReport = loadReport(response);
+            Gateway.this.responseStarted(exchange, number, response, bodyRelay);
         }
 
         @Override
-        public void ended(Outcome outcome, FullHttpResponse answer) {
-            long elapsed = (begunAt == 0 ? now() : begunAt) - sentAt;
-            resolved(exchange, number, uid, elapsed, outcome, answer, report == null ? report(answer) : report);
+        public void ended(Outcome outcome, FullHttpResponse response) {
+            long elapsed = (responseStartedAt == 0 ? now() : responseStartedAt) - sentAt;
+            attemptEnded(exchange, number, hostId, elapsed, outcome, response, loadReport == null ? loadReport(response) : loadReport);
         }
     }
 
-    private static FullHttpRequest onward(Exchange exchange) {
-        FullHttpRequest from = exchange.message;
-        ByteBuf body = exchange.ended || exchange.relaying ? Unpooled.EMPTY_BUFFER : from.content().retainedDuplicate();
-        FullHttpRequest message = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, from.method(), from.uri(), body);
-        for (String name : PASSED_ON) {
-            if (from.headers().contains(name)) {
-                message.headers().set(name, from.headers().get(name));
+    private static FullHttpRequest upstreamRequest(Exchange exchange) {
+        FullHttpRequest original = exchange.request;
+        ByteBuf body = exchange.ended || exchange.requestStreaming ? Unpooled.EMPTY_BUFFER : original.content().retainedDuplicate();
+        FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, original.method(), original.uri(), body);
+        for (String name : FORWARDED_HEADERS) {
+            if (original.headers().contains(name)) {
+                request.headers().set(name, original.headers().get(name));
             }
         }
-        if (exchange.rest != null) {  // keeps the framing that the client used
-            HttpUtil.setTransferEncodingChunked(message, HttpUtil.isTransferEncodingChunked(from));
-            if (HttpUtil.isContentLengthSet(from)) {
-                message.headers().set(HttpHeaderNames.CONTENT_LENGTH, HttpUtil.getContentLength(from));
+        if (exchange.bodyRelay != null) {  // keeps the framing that the client used
+            HttpUtil.setTransferEncodingChunked(request, HttpUtil.isTransferEncodingChunked(original));
+            if (HttpUtil.isContentLengthSet(original)) {
+                request.headers().set(HttpHeaderNames.CONTENT_LENGTH, HttpUtil.getContentLength(original));
             }
-        } else if (body.isReadable() || from.method().equals(HttpMethod.POST)) {
-            message.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.readableBytes());
+        } else if (body.isReadable() || original.method().equals(HttpMethod.POST)) {
+            request.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.readableBytes());
         }
-        if (from.headers().contains(HttpHeaderNames.CONTENT_TYPE)) {
-            message.headers().set(HttpHeaderNames.CONTENT_TYPE, from.headers().get(HttpHeaderNames.CONTENT_TYPE));
+        if (original.headers().contains(HttpHeaderNames.CONTENT_TYPE)) {
+            request.headers().set(HttpHeaderNames.CONTENT_TYPE, original.headers().get(HttpHeaderNames.CONTENT_TYPE));
         }
-        return message;
+        return request;
     }
 
     @Override
     public void cancel(long id, int attempt) {
-        Exchange exchange = ledger.get(id);
+        Exchange exchange = exchanges.get(id);
         if (exchange != null && attempt < exchange.attempts.size()) {
             exchange.attempts.get(attempt).cancel();
         }
@@ -552,11 +552,11 @@
 
     @Override
     public void refuse(long id, long retryAfter) {
-        Exchange exchange = ledger.get(id);
-        if (exchange != null && !exchange.ended && !exchange.begun) {
+        Exchange exchange = exchanges.get(id);
+        if (exchange != null && !exchange.ended && !exchange.responseStreaming) {
             finish(exchange);
             tally.add(exchange.className, Tally.Ended.REFUSED);
-            log.add(EventLog.Event.REQUEST_REFUSED, "trace", exchange.trace, "class", exchange.className, "attempts",
+            log.add(EventLog.Event.REQUEST_REFUSED, "trace", exchange.traceId, "class", exchange.className, "attempts",
                     exchange.attempts.size());
             exchange.client.sendRefusal(retryAfter);
         }
@@ -564,34 +564,34 @@
 
     @Override
     public void fail(long id) {
-        Exchange exchange = ledger.get(id);
-        if (exchange != null && !exchange.ended && !exchange.begun) {
+        Exchange exchange = exchanges.get(id);
+        if (exchange != null && !exchange.ended && !exchange.responseStreaming) {
             finish(exchange);
-            failed(exchange, exchange.late ? "attempt_late" : "no_further_attempt");
-            exchange.client.sendFailure(exchange.late);
+            recordFailure(exchange, exchange.lastAttemptExpired ? "attempt_late" : "no_further_attempt");
+            exchange.client.sendFailure(exchange.lastAttemptExpired);
         }
     }
 
     @Override
     public void scheduleTimer(long at, String handle) {
         loop.schedule(() -> {
-            long begunAt = loopMonitor.begin();
-            event(null, now -> module.timerFired(now, handle));
-            loopMonitor.ended(LoopMonitor.Task.TIMER, begunAt);
+            long startedAt = loopMonitor.begin();
+            dispatch(null, now -> balancer.timerFired(now, handle));
+            loopMonitor.ended(LoopMonitor.Task.TIMER, startedAt);
         }, Math.max(1, at - now()), TimeUnit.MICROSECONDS);
     }
 
     @Override
-    public void probe(String uid) {
-        boolean reports = settings.capabilities().loadReportMode() != LoadReportMode.OFF;
-        FullHttpRequest message = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET,
-                reports ? "/status/load" : "/health");
+    public void probe(String hostId) {
+        boolean wantsLoadReport = settings.capabilities().loadReportMode() != LoadReportMode.OFF;
+        FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET,
+                wantsLoadReport ? "/status/load" : "/health");
         long sentAt = now();
-        hosts.send(uid, message, PROBE_TIMEOUT_MICROS, (outcome, answer) -> {
+        hostPool.send(hostId, request, PROBE_TIMEOUT_MICROS, (outcome, response) -> {
             long elapsed = now() - sentAt;
-            LoadReport report = LoadReports.parse(answer == null || !reports ? null
-                    : answer.content().toString(StandardCharsets.UTF_8));
-            event(null, now -> module.probeEnded(now, uid, outcome, elapsed, report));
+            LoadReport loadReport = LoadReports.parse(response == null || !wantsLoadReport ? null
+                    : response.content().toString(StandardCharsets.UTF_8));
+            dispatch(null, now -> balancer.probeEnded(now, hostId, outcome, elapsed, loadReport));
         });
     }
 
@@ -606,8 +606,8 @@
     }
 
     @Override
-    public void closeIdleConnections(String uid) {
-        hosts.closeIdle(uid);
+    public void closeIdleConnections(String hostId) {
+        hostPool.closeIdle(hostId);
     }
 
     /** Unsupported: the settings allow no messages between gateways, so the balancer sends none. */
@@ -618,6 +618,6 @@
 
     @Override
     public void log(String line) {
-        out.accept(line);
+        logOutput.accept(line);
     }
 }
--- a/src/main/java/mastdrift/net/HostPool.java
+++ b/src/main/java/mastdrift/net/HostPool.java
@@ -608,7 +608,7 @@
         private void relayed() {
             Attempt mine = attempt;
             if (relay.isFinished()) {
-                boolean whole = relay.whole();
+                boolean whole = relay.isComplete();
                 attempt = null;
                 relay = null;
                 answers.begun = false;
--- a/src/main/java/mastdrift/net/Main.java
+++ b/src/main/java/mastdrift/net/Main.java
@@ -29,16 +29,16 @@
     private static final int RESERVED_DESCRIPTORS = 48;
     // Requests are answered long before; bodies that are being streamed may take longer and are finished while they
     // make progress.
-    private static final int STOP_SECONDS = 30;
+    private static final int SHUTDOWN_TIMEOUT_SECONDS = 30;
     // An agent on this machine answers at once; a longer wait for one that does not would be in vain.
-    private static final long FIRST_LIST_MILLIS = 300;
+    private static final long FIRST_LIST_TIMEOUT_MILLIS = 300;
     // For five seconds: the address may be in use by a process that is about to end, or the system may lack a socket.
     private static final int LISTEN_TRIES = 50;
-    private static final long LISTEN_RETRY_MILLIS = 100;
-    private static final int READ_TRIES = 20;
+    private static final long RETRY_MILLIS = 100;
+    private static final int CONFIG_READ_TRIES = 20;
     // At its end the process waits this long for a log output that takes no lines; the platform's SIGKILL comes later.
-    private static final long LOG_FLUSH_MILLIS = 100;
-    private static final String REHEARSE = "rehearse";
+    private static final long LOG_FLUSH_TIMEOUT_MILLIS = 100;
+    private static final String REHEARSE_ARGUMENT = "rehearse";
 
     /** Netty's logger, created on first use: creating it takes longer than a signal may stay without a handler. */
     private static final class LibraryLog {
@@ -54,37 +54,37 @@
         // First of all, since without a handler the signal would end the process. A signal during the start is handled
         // after it.
         CompletableFuture<Reloader> reloader = new CompletableFuture<>();
-        onHangUp(() -> reloader.thenAccept(Reloader::signalled));
+        onHangupSignal(() -> reloader.thenAccept(Reloader::signalled));
         // Netty logs a failed accept. Without free descriptors the logger can't open its own files, and the resulting
         // error would end the loop's thread and with it the gateway.
         LibraryLog.LOGGER.setLevel(Level.OFF);
         // A connection whose socket options can't be set is still usable, and its client's request needs a response.
         System.setProperty("io.netty.bootstrap.closeOnSetOptionFailure", "false");
         EventLoop loop = newEventLoop();
-        Life life = new Life();
+        Life lifecycle = new Life();
         try {
-            Config config = config();
-            ServerSocketChannel passed = config.passedSocket() ? passed() : null;
+            Config config = readConfig();
+            ServerSocketChannel inheritedSocket = config.passedSocket() ? inheritedSocket() : null;
             Tally tally = config.tally();
-            InetSocketAddress admin = config.admin() == null ? null
-                    : Admin.open(config.admin(), newEventLoop(), life, tally).address();
-            boolean build = List.of(args).contains(REHEARSE);
+            InetSocketAddress adminAddress = config.admin() == null ? null
+                    : Admin.open(config.admin(), newEventLoop(), lifecycle, tally).address();
+            boolean rehearseOnly = List.of(args).contains(REHEARSE_ARGUMENT);
             LogWriter log = LogWriter.to(FileDescriptor.out, () -> tally.add(Tally.Count.LOG_LINES_DROPPED));
             ClassPreloader.load();
-            Rehearsal.play(config, admin, build, newEventLoop(), log);
-            if (build) {
-                log.flush(LOG_FLUSH_MILLIS);
+            Rehearsal.play(config, adminAddress, rehearseOnly, newEventLoop(), log);
+            if (rehearseOnly) {
+                log.flush(LOG_FLUSH_TIMEOUT_MILLIS);
                 System.exit(0);  // a halt would not write the archive of classes
             }
-            if (admin != null) {
-                log.accept("operators may call " + admin);
+            if (adminAddress != null) {
+                log.accept("operators may call " + adminAddress);
             }
-            DownstreamServer clients = createServer(config, loop, System::nanoTime, life, tally, log);
-            reloader.complete(reloader(clients.gateway(), loop));
+            DownstreamServer server = createServer(config, loop, System::nanoTime, lifecycle, tally, log);
+            reloader.complete(createReloader(server.gateway(), loop));
             // Before the first request can arrive: from then on an end without this would lose accepted requests.
-            Runtime.getRuntime().addShutdownHook(new Thread(() -> stop(loop, clients, log)));
-            awaitFirstList(clients.gateway(), FIRST_LIST_MILLIS);
-            listen(clients, config, passed, loop, life, log);
+            Runtime.getRuntime().addShutdownHook(new Thread(() -> stop(loop, server, log)));
+            awaitFirstList(server.gateway(), FIRST_LIST_TIMEOUT_MILLIS);
+            listen(server, config, inheritedSocket, loop, lifecycle, log);
         } catch (IllegalArgumentException | CompletionException e) {
             Throwable cause = e instanceof CompletionException ? e.getCause() : e;
             LogWriter errors = LogWriter.to(FileDescriptor.err, () -> { });
@@ -98,7 +98,7 @@
     /** Halts the process with that status once the log is written, or its output has taken nothing for a moment. */
     private static void end(LogWriter log, int status) {
         try {
-            log.flush(LOG_FLUSH_MILLIS);
+            log.flush(LOG_FLUSH_TIMEOUT_MILLIS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -107,31 +107,31 @@
 
     /** Reads the configuration, again if the file can't be opened for a moment. Throws IllegalArgumentException if it
         is invalid. */
-    private static Config config() {
+    private static Config readConfig() {
         for (int tries = 1; true; tries++) {
             try {
                 return Config.read(System.getenv());
             } catch (IllegalArgumentException e) {
-                boolean unread = e.getCause() instanceof FileSystemException && !(e.getCause() instanceof NoSuchFileException);
-                if (!unread || tries == READ_TRIES) {
+                boolean unreadable = e.getCause() instanceof FileSystemException && !(e.getCause() instanceof NoSuchFileException);
+                if (!unreadable || tries == CONFIG_READ_TRIES) {
                     throw e;
                 }
-                rest();
+                sleepBeforeRetry();
             }
         }
     }
 
     /** Handles SIGHUP. The JDK has no supported interface for that, and javac's warning about this one can't be turned
         off. */
-    private static void onHangUp(Runnable then) {
-        sun.misc.Signal.handle(new sun.misc.Signal("HUP"), signal -> then.run());
+    private static void onHangupSignal(Runnable handler) {
+        sun.misc.Signal.handle(new sun.misc.Signal("HUP"), signal -> handler.run());
     }
 
     /** Reloads the address of discovery from the configuration; one that can't be read changes nothing. */
-    private static Reloader reloader(Gateway gateway, EventLoop loop) {
+    private static Reloader createReloader(Gateway gateway, EventLoop loop) {
         return new Reloader(() -> Config.discovery(System.getenv()), discovery -> {
             gateway.tally().add(Tally.Count.RELOADS_OK);
-            handOver(loop, () -> gateway.setDiscoveryAddress(discovery), gateway::log);
+            executeOn(loop, () -> gateway.setDiscoveryAddress(discovery), gateway::log);
         }, cause -> {
             gateway.tally().add(Tally.Count.RELOADS_FAILED);
             gateway.log("configuration not taken: " + cause);
@@ -140,7 +140,7 @@
 
     /** Runs a task on the event loop. If the system fails to wake the loop up, the task is in the loop's queue all the
         same and runs at its next turn. */
-    private static void handOver(EventLoop loop, Runnable task, Consumer<String> log) {
+    private static void executeOn(EventLoop loop, Runnable task, Consumer<String> log) {
         try {
             loop.execute(task);
         } catch (InternalError notWoken) {
@@ -159,16 +159,16 @@
     }
 
     /** The maximum of open requests. An eighth of the client connections is left to refuse further requests on. */
-    static int maxOpenRequests(int connectionsMost) {
-        return connectionsMost - connectionsMost / 8;
+    static int maxOpenRequests(int maxConnections) {
+        return maxConnections - maxConnections / 8;
     }
 
     /** The listening socket that the process inherited as descriptor 0; throws IllegalArgumentException if there is
         none. */
-    private static ServerSocketChannel passed() {
+    private static ServerSocketChannel inheritedSocket() {
         try {
-            if (System.inheritedChannel() instanceof ServerSocketChannel passed) {
-                return passed;
+            if (System.inheritedChannel() instanceof ServerSocketChannel inherited) {
+                return inherited;
             }
         } catch (IOException e) {
             throw new IllegalArgumentException("the passed socket can't be used: " + e.getMessage(), e);
@@ -178,48 +178,48 @@
 
     /** Creates a gateway and its server, which does not listen yet, on the loop. {@code nanoTime} counts from an
         arbitrary origin. Throws IllegalArgumentException for invalid settings. */
-    static DownstreamServer createServer(Config config, EventLoop loop, LongSupplier nanoTime, Life life, Tally tally,
-            Consumer<String> out) {
-        int most = maxConnections(config.sockets());
+    static DownstreamServer createServer(Config config, EventLoop loop, LongSupplier nanoTime, Life lifecycle, Tally tally,
+            Consumer<String> logOutput) {
+        int maxConnections = maxConnections(config.sockets());
         return CompletableFuture.supplyAsync(() -> {
-            Gateway gateway = new Gateway(config, loop, nanoTime, new HeadroomBalancer(), tally, most, maxOpenRequests(most), out);
+            Gateway gateway = new Gateway(config, loop, nanoTime, new HeadroomBalancer(), tally, maxConnections, maxOpenRequests(maxConnections), logOutput);
             if (config.admin() != null) {
                 gateway.startGaugeUpdates();
             }
-            return new DownstreamServer(loop, gateway, config.settings(), most, life);
+            return new DownstreamServer(loop, gateway, config.settings(), maxConnections, lifecycle);
         }, loop).join();
     }
 
     /** Waits for the first list from discovery, but no longer than the timeout, since discovery may be down. */
-    static void awaitFirstList(Gateway gateway, long millis) {
-        gateway.firstListReceived().completeOnTimeout(null, millis, TimeUnit.MILLISECONDS).join();
+    static void awaitFirstList(Gateway gateway, long timeoutMillis) {
+        gateway.firstListReceived().completeOnTimeout(null, timeoutMillis, TimeUnit.MILLISECONDS).join();
     }
 
     /** Starts to accept clients, on the inherited socket if there is one. Throws IllegalArgumentException if that
         fails. */
-    static void listen(DownstreamServer clients, Config config, ServerSocketChannel passed, EventLoop loop, Life life,
-            Consumer<String> out) {
-        ChannelFuture listening = begin(clients, config, passed);
+    static void listen(DownstreamServer server, Config config, ServerSocketChannel inheritedSocket, EventLoop loop, Life lifecycle,
+            Consumer<String> logOutput) {
+        ChannelFuture listening = startListening(server, config, inheritedSocket);
         for (int tries = 1; !listening.isSuccess() && tries < LISTEN_TRIES; tries++) {
-            out.accept("not listening yet on " + config.listen() + ": " + listening.cause().getMessage());
-            rest();
-            listening = begin(clients, config, passed);
+            logOutput.accept("not listening yet on " + config.listen() + ": " + listening.cause().getMessage());
+            sleepBeforeRetry();
+            listening = startListening(server, config, inheritedSocket);
         }
         if (!listening.isSuccess()) {
             throw new IllegalArgumentException("no listening on " + config.listen() + ": "
                     + listening.cause().getMessage(), listening.cause());
         }
-        out.accept("listening on " + clients.address());
-        life.started(() -> loop.execute(clients::lifecycleStateChanged));
+        logOutput.accept("listening on " + server.address());
+        lifecycle.started(() -> loop.execute(server::lifecycleStateChanged));
     }
 
-    private static ChannelFuture begin(DownstreamServer clients, Config config, ServerSocketChannel passed) {
-        return (passed == null ? clients.listen(config.listen()) : clients.listenOnInherited(passed)).awaitUninterruptibly();
+    private static ChannelFuture startListening(DownstreamServer server, Config config, ServerSocketChannel inheritedSocket) {
+        return (inheritedSocket == null ? server.listen(config.listen()) : server.listenOnInherited(inheritedSocket)).awaitUninterruptibly();
     }
 
-    private static void rest() {
+    private static void sleepBeforeRetry() {
         try {
-            TimeUnit.MILLISECONDS.sleep(LISTEN_RETRY_MILLIS);
+            TimeUnit.MILLISECONDS.sleep(RETRY_MILLIS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -227,13 +227,13 @@
 
     /** Shuts down gracefully and exits with status 0: by itself, the virtual machine would exit with the signal's
         status. */
-    private static void stop(EventLoop loop, DownstreamServer clients, LogWriter log) {
+    private static void stop(EventLoop loop, DownstreamServer server, LogWriter log) {
         log.accept("stopping");
         CountDownLatch answered = new CountDownLatch(1);
-        handOver(loop, () -> clients.stop(answered::countDown), log);
+        executeOn(loop, () -> server.stop(answered::countDown), log);
         try {
-            boolean all = answered.await(STOP_SECONDS, TimeUnit.SECONDS);
-            log.accept(all ? "stopped" : "stopped with requests unanswered");
+            boolean allAnswered = answered.await(SHUTDOWN_TIMEOUT_SECONDS, TimeUnit.SECONDS);
+            log.accept(allAnswered ? "stopped" : "stopped with requests unanswered");
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/src/main/java/mastdrift/net/MessageAggregator.java
+++ b/src/main/java/mastdrift/net/MessageAggregator.java
@@ -29,7 +29,7 @@
     static final int MAX_AGGREGATED_BYTES = 64 << 10;
     /** Longer bodies are rejected. */
     static final long MAX_BODY_BYTES = 32L << 20;
-    private static final int COMPONENTS_MOST = 1024;
+    private static final int MAX_COMPONENTS = 1024;
 
     /** A message with the part of its body that has arrived, which the receiver releases; {@code bodyRelay} supplies
         the rest, and is null if the message is complete. */
@@ -39,9 +39,9 @@
     enum Event { CONTINUE_EXPECTED }
 
     private HttpMessage head;  // of the message that is being aggregated, null if there is none
-    private ByteBuf held = Unpooled.EMPTY_BUFFER;
-    private BodyRelay rest;
-    private long length;  // as declared by the head, negative if it is not
+    private ByteBuf body = Unpooled.EMPTY_BUFFER;
+    private BodyRelay activeRelay;
+    private long contentLength;  // as declared by the head, negative if it is not
     private long bytes;
 
     /** How much of the body of the current message has arrived; 0 between two messages. */
@@ -56,136 +56,136 @@
 
     /** Whether the current message is of unknown length and a part of its body has arrived. */
     boolean hasPartialBodyOfUnknownLength() {
-        return head != null && length < 0 && held.isReadable();
+        return head != null && contentLength < 0 && body.isReadable();
     }
 
     /** Passes on the part that has arrived, with a relay for the rest of the body. */
     void startRelay(ChannelHandlerContext context) {
-        rest = new BodyRelay();
-        pass(context, null, rest);
+        activeRelay = new BodyRelay();
+        emit(context, null, activeRelay);
     }
 
     @Override
     protected void channelRead0(ChannelHandlerContext context, HttpObject part) {
         if (part instanceof HttpMessage message) {
-            begin(context, message);
+            startMessage(context, message);
         }
         if (part instanceof HttpContent content) {
-            add(context, content);
+            addContent(context, content);
         }
     }
 
-    private void begin(ChannelHandlerContext context, HttpMessage message) {
-        drop();
+    private void startMessage(ChannelHandlerContext context, HttpMessage message) {
+        discard();
         head = message;
         bytes = 0;
-        Throwable fault = message.decoderResult().cause();
-        length = fault != null || HttpUtil.isTransferEncodingChunked(message) ? -1
+        Throwable decodeError = message.decoderResult().cause();
+        contentLength = decodeError != null || HttpUtil.isTransferEncodingChunked(message) ? -1
                 : HttpUtil.getContentLength(message, -1L);
-        if (fault != null || length > MAX_BODY_BYTES) {
-            pass(context, fault != null ? fault : tooLong(), null);
+        if (decodeError != null || contentLength > MAX_BODY_BYTES) {
+            emit(context, decodeError != null ? decodeError : bodyTooLong(), null);
             return;
         }
         if (message instanceof HttpRequest && HttpUtil.is100ContinueExpected(message)) {
             context.fireUserEventTriggered(Event.CONTINUE_EXPECTED);
         }
-        if (message instanceof HttpRequest && length > MAX_AGGREGATED_BYTES) {
+        if (message instanceof HttpRequest && contentLength > MAX_AGGREGATED_BYTES) {
             startRelay(context);
         }
     }
 
-    private static TooLongFrameException tooLong() {
+    private static TooLongFrameException bodyTooLong() {
         return new TooLongFrameException("body");
     }
 
-    private void add(ChannelHandlerContext context, HttpContent content) {
+    private void addContent(ChannelHandlerContext context, HttpContent content) {
         ByteBuf piece = content.content();
         bytes += piece.readableBytes();
-        Throwable fault = bytes > MAX_BODY_BYTES ? tooLong() : content.decoderResult().cause();
+        Throwable error = bytes > MAX_BODY_BYTES ? bodyTooLong() : content.decoderResult().cause();
         boolean last = content instanceof LastHttpContent;
-        if (rest != null) {
-            if (piece.isReadable() && fault == null) {
-                rest.add(piece.retain());
+        if (activeRelay != null) {
+            if (piece.isReadable() && error == null) {
+                activeRelay.add(piece.retain());
             }
-            if (fault != null) {
-                rest.fail();
+            if (error != null) {
+                activeRelay.fail();
             } else if (last) {
-                rest.complete();
+                activeRelay.complete();
             }
-            if (fault != null || last) {
-                rest = null;
+            if (error != null || last) {
+                activeRelay = null;
                 bytes = 0;
             }
         } else if (head != null) {
-            hold(context, piece);
-            if (fault != null || last) {
-                pass(context, fault, null);
-            } else if (held.readableBytes() > MAX_AGGREGATED_BYTES || length > MAX_AGGREGATED_BYTES && held.isReadable()) {
+            aggregate(context, piece);
+            if (error != null || last) {
+                emit(context, error, null);
+            } else if (body.readableBytes() > MAX_AGGREGATED_BYTES || contentLength > MAX_AGGREGATED_BYTES && body.isReadable()) {
                 startRelay(context);
             }
         }
     }
 
     /** Avoids a composite buffer for one piece, which is the usual case. */
-    private void hold(ChannelHandlerContext context, ByteBuf piece) {
+    private void aggregate(ChannelHandlerContext context, ByteBuf piece) {
         if (!piece.isReadable()) {
             return;
         }
-        if (!held.isReadable()) {
-            held = piece.retain();
+        if (!body.isReadable()) {
+            body = piece.retain();
             return;
         }
-        if (!(held instanceof CompositeByteBuf)) {
-            held = context.alloc().compositeBuffer(COMPONENTS_MOST).addComponent(true, held);
+        if (!(body instanceof CompositeByteBuf)) {
+            body = context.alloc().compositeBuffer(MAX_COMPONENTS).addComponent(true, body);
         }
-        ((CompositeByteBuf) held).addComponent(true, piece.retain());
+        ((CompositeByteBuf) body).addComponent(true, piece.retain());
     }
 
-    private void pass(ChannelHandlerContext context, Throwable fault, BodyRelay relay) {
+    private void emit(ChannelHandlerContext context, Throwable error, BodyRelay relay) {
         FullHttpMessage message = head instanceof HttpRequest request
-                ? new DefaultFullHttpRequest(request.protocolVersion(), request.method(), request.uri(), held,
+                ? new DefaultFullHttpRequest(request.protocolVersion(), request.method(), request.uri(), body,
                         request.headers(), EmptyHttpHeaders.INSTANCE)
-                : new DefaultFullHttpResponse(head.protocolVersion(), ((HttpResponse) head).status(), held,
+                : new DefaultFullHttpResponse(head.protocolVersion(), ((HttpResponse) head).status(), body,
                         head.headers(), EmptyHttpHeaders.INSTANCE);
-        if (fault != null) {
-            message.setDecoderResult(DecoderResult.failure(fault));
+        if (error != null) {
+            message.setDecoderResult(DecoderResult.failure(error));
         }
         head = null;
-        held = Unpooled.EMPTY_BUFFER;
+        body = Unpooled.EMPTY_BUFFER;
         bytes = relay == null ? 0 : bytes;
         context.fireChannelRead(new AggregatedMessage(message, relay));
     }
 
     /** Fails the current message, whatever arrives. */
     void abort() {
-        drop();
+        discard();
     }
 
     /** A connection that fails does not complete a message, not even one whose body ends with the connection. */
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-        drop();
+        discard();
         context.fireExceptionCaught(cause);
     }
 
-    private void drop() {
-        held.release();
-        held = Unpooled.EMPTY_BUFFER;
+    private void discard() {
+        body.release();
+        body = Unpooled.EMPTY_BUFFER;
         head = null;
-        if (rest != null) {
-            rest.fail();
-            rest = null;
+        if (activeRelay != null) {
+            activeRelay.fail();
+            activeRelay = null;
         }
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
         context.fireChannelInactive();
-        drop();
+        discard();
     }
 
     @Override
     public void handlerRemoved(ChannelHandlerContext context) {
-        drop();
+        discard();
     }
 }
--- a/src/main/java/mastdrift/net/PeriodicTask.java
+++ b/src/main/java/mastdrift/net/PeriodicTask.java
@@ -12,13 +12,13 @@
 
     /** Runs the task after the delay, and again after a delay from the end of each run. {@code onError} receives a
         message for each exception. */
-    static void schedule(EventLoop loop, long delay, Runnable task, Consumer<String> faults) {
+    static void schedule(EventLoop loop, long delayMicros, Runnable task, Consumer<String> onError) {
         loop.scheduleWithFixedDelay(() -> {
             try {
                 task.run();
             } catch (RuntimeException | Error fault) {
-                faults.accept("fault in a periodic task: " + fault);
+                onError.accept("fault in a periodic task: " + fault);
             }
-        }, delay, delay, TimeUnit.MICROSECONDS);
+        }, delayMicros, delayMicros, TimeUnit.MICROSECONDS);
     }
 }
--- a/src/main/java/mastdrift/net/ReadAheadHandler.java
+++ b/src/main/java/mastdrift/net/ReadAheadHandler.java
@@ -21,77 +21,77 @@
 final class ReadAheadHandler extends ChannelInboundHandlerAdapter {
 
     // Once this much has been read, it is delivered before more is read.
-    private static final int TURN_BYTES_MOST = 32 << 10;
+    private static final int MAX_TURN_BYTES = 32 << 10;
     // Reads of one connection in a turn: a client that keeps sending small pieces must not occupy the loop.
-    private static final int TURN_READS = 16;
+    private static final int MAX_TURN_READS = 16;
     private static final long NEXT_TURN_MILLIS = 1;
     // By this time the selector has processed that the socket is not to be watched.
-    private static final long REARM_MILLIS = 1;
+    private static final long SELECTOR_REARM_MILLIS = 1;
     // Limit for one connection whose receiver pauses.
-    private static final int AHEAD_BYTES_MOST = 1 << 20;
+    private static final int MAX_READ_AHEAD_BYTES = 1 << 20;
 
     /** The memory that all connections of one gateway may use together. */
     static final class MemoryBudget {
 
-        private final int most;
-        private int held;  // capacity of the buffers of all connections
+        private final int maxBytes;
+        private int usedBytes;  // capacity of the buffers of all connections
 
         /** While their receivers pause, connections buffer about {@code maxBytes} together. */
-        MemoryBudget(int most) {
-            this.most = most;
+        MemoryBudget(int maxBytes) {
+            this.maxBytes = maxBytes;
         }
 
         boolean isUnused() {
-            return held == 0;
+            return usedBytes == 0;
         }
     }
 
-    private final MemoryBudget group;
-    private final BooleanSupplier departureMatters;
+    private final MemoryBudget budget;
+    private final BooleanSupplier disconnectRelevant;
     private final LongSupplier clock;
-    private final Queue<ByteBuf> held = new ArrayDeque<>();
+    private final Queue<ByteBuf> buffers = new ArrayDeque<>();
     private ChannelHandlerContext context;
-    private int size;  // capacity of the buffers
+    private int bufferedBytes;  // capacity of the buffers
     private boolean paused;
-    private boolean dropping;
-    private boolean due;
-    private boolean rearming;
-    private boolean watched;  // the selector has reported input since reading last began
-    private int reads;  // in this turn of the loop
-    private long readAt;  // the last time that input arrived
+    private boolean discarding;
+    private boolean deliveryScheduled;
+    private boolean rearmingSelector;
+    private boolean selectorNotified;  // the selector has reported input since reading last began
+    private int readsThisTurn;  // in this turn of the loop
+    private long lastReadAt;  // the last time that input arrived
 
     /** The allocator for the channels of such connections: a turn of the loop reads until there is no more input, and
         so finds a disconnect that follows it. Both may have arrived if the loop was late. */
     static RecvByteBufAllocator receiveBufferAllocator() {
-        AdaptiveRecvByteBufAllocator sizes = DownstreamServer.receiveBufferAllocator();
-        sizes.respectMaybeMoreData(false).maxMessagesPerRead(TURN_READS);
-        return sizes;
+        AdaptiveRecvByteBufAllocator allocator = DownstreamServer.receiveBufferAllocator();
+        allocator.respectMaybeMoreData(false).maxMessagesPerRead(MAX_TURN_READS);
+        return allocator;
     }
 
     /** {@code disconnectRelevant} is queried while the receiver pauses. The clock counts microseconds from an arbitrary
         origin. */
-    ReadAheadHandler(MemoryBudget group, BooleanSupplier departureMatters, LongSupplier clock) {
-        this.group = group;
-        this.departureMatters = departureMatters;
+    ReadAheadHandler(MemoryBudget budget, BooleanSupplier disconnectRelevant, LongSupplier clock) {
+        this.budget = budget;
+        this.disconnectRelevant = disconnectRelevant;
         this.clock = clock;
     }
 
     /** Whether input has been read that was not delivered yet. */
     boolean hasBufferedData() {
-        return !held.isEmpty();
+        return !buffers.isEmpty();
     }
 
     /** Pauses or continues delivery. */
-    void setPaused(boolean pauses) {
-        paused = pauses;
-        passOnSoon();
+    void setPaused(boolean pause) {
+        paused = pause;
+        scheduleDelivery();
         updateAutoRead();
     }
 
     /** From now on, input is read and discarded. */
     void discardInput() {
-        dropping = true;
-        release();
+        discarding = true;
+        releaseBuffers();
         updateAutoRead();
     }
 
@@ -102,90 +102,90 @@
 
     @Override
     public void handlerRemoved(ChannelHandlerContext removed) {
-        release();
+        releaseBuffers();
     }
 
     @Override
     public void channelRead(ChannelHandlerContext from, Object message) {
-        if (dropping) {
+        if (discarding) {
             ReferenceCountUtil.release(message);
             return;
         }
-        ByteBuf bytes = paused ? compact((ByteBuf) message) : (ByteBuf) message;
-        watched |= !(from.channel() instanceof TcpChannel connection && connection.isReadingUnprompted());
-        reads++;
-        readAt = clock.getAsLong();
-        held.add(bytes);
-        count(bytes.capacity());
+        ByteBuf buffer = paused ? compact((ByteBuf) message) : (ByteBuf) message;
+        selectorNotified |= !(from.channel() instanceof TcpChannel connection && connection.isReadingUnprompted());
+        readsThisTurn++;
+        lastReadAt = clock.getAsLong();
+        buffers.add(buffer);
+        addBufferedBytes(buffer.capacity());
         updateAutoRead();
     }
 
     /** Copies input that leaves most of its buffer unused, since it may be held for long. */
-    private ByteBuf compact(ByteBuf bytes) {
-        if (2 * bytes.readableBytes() >= bytes.capacity()) {
-            return bytes;
+    private ByteBuf compact(ByteBuf buffer) {
+        if (2 * buffer.readableBytes() >= buffer.capacity()) {
+            return buffer;
         }
-        ByteBuf copy = context.alloc().buffer(bytes.readableBytes()).writeBytes(bytes);
-        bytes.release();
+        ByteBuf copy = context.alloc().buffer(buffer.readableBytes()).writeBytes(buffer);
+        buffer.release();
         return copy;
     }
 
     @Override
     public void channelReadComplete(ChannelHandlerContext from) {
-        boolean mayBeMore = reads >= TURN_READS;
-        reads = 0;
-        if (mayBeMore && !paused && !due && size < TURN_BYTES_MOST) {
+        boolean mayBeMore = readsThisTurn >= MAX_TURN_READS;
+        readsThisTurn = 0;
+        if (mayBeMore && !paused && !deliveryScheduled && bufferedBytes < MAX_TURN_BYTES) {
             // The read limit was reached by small pieces: the next turn continues, and its input is delivered with
             // this. A timer is needed since no event follows if there is no more input.
-            from.channel().eventLoop().schedule(this::passOnSoon, NEXT_TURN_MILLIS, TimeUnit.MILLISECONDS);
+            from.channel().eventLoop().schedule(this::scheduleDelivery, NEXT_TURN_MILLIS, TimeUnit.MILLISECONDS);
         } else {
-            passOnSoon();
+            scheduleDelivery();
         }
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext from) {
-        release();
+        releaseBuffers();
         from.fireChannelInactive();
     }
 
-    private void count(int bytes) {
-        size += bytes;
-        group.held += bytes;
+    private void addBufferedBytes(int bytes) {
+        bufferedBytes += bytes;
+        budget.usedBytes += bytes;
     }
 
     /** Delivers the input after the events of this turn of the loop, which may include a disconnect, and never while
         the receiver is at work. */
-    private void passOnSoon() {
-        if (!due && !paused && !held.isEmpty()) {
-            due = true;
-            context.channel().eventLoop().execute(this::passOn);
+    private void scheduleDelivery() {
+        if (!deliveryScheduled && !paused && !buffers.isEmpty()) {
+            deliveryScheduled = true;
+            context.channel().eventLoop().execute(this::deliver);
         }
     }
 
-    private void passOn() {
-        due = false;
-        lookAgain();
+    private void deliver() {
+        deliveryScheduled = false;
+        readAgainIfStale();
         if (!context.channel().isActive()) {
-            release();  // the client has disconnected, which the receiver is told next
+            releaseBuffers();  // the client has disconnected, which the receiver is told next
         }
-        boolean passed = false;
-        while (!paused && !held.isEmpty()) {
-            ByteBuf next = held.poll();
-            count(-next.capacity());
-            passed = true;
+        boolean delivered = false;
+        while (!paused && !buffers.isEmpty()) {
+            ByteBuf next = buffers.poll();
+            addBufferedBytes(-next.capacity());
+            delivered = true;
             context.fireChannelRead(next);
         }
-        if (passed) {
+        if (delivered) {
             context.fireChannelReadComplete();
             updateAutoRead();
         }
     }
 
     /** Reads again if the loop was delayed since the input was read: the client may have disconnected meanwhile. */
-    private void lookAgain() {
-        boolean longAgo = !held.isEmpty() && clock.getAsLong() - readAt > Gateway.CLIENT_CHECK_INTERVAL_MICROS;
-        if (longAgo && !paused && context.channel() instanceof TcpChannel connection) {
+    private void readAgainIfStale() {
+        boolean stale = !buffers.isEmpty() && clock.getAsLong() - lastReadAt > Gateway.CLIENT_CHECK_INTERVAL_MICROS;
+        if (stale && !paused && context.channel() instanceof TcpChannel connection) {
             connection.readNow();
         }
     }
@@ -193,12 +193,12 @@
     /** Starts or stops reading, by the memory that is left. Also to be called when other connections may have freed
         some. */
     void updateAutoRead() {
-        boolean room = !paused ? size < TURN_BYTES_MOST
-                : size < AHEAD_BYTES_MOST && group.held < group.most && departureMatters.getAsBoolean();
-        boolean reads = !rearming && (dropping || room);
-        if (reads != context.channel().config().isAutoRead()) {
-            watched = false;
-            context.channel().config().setAutoRead(reads);
+        boolean hasRoom = !paused ? bufferedBytes < MAX_TURN_BYTES
+                : bufferedBytes < MAX_READ_AHEAD_BYTES && budget.usedBytes < budget.maxBytes && disconnectRelevant.getAsBoolean();
+        boolean autoRead = !rearmingSelector && (discarding || hasRoom);
+        if (autoRead != context.channel().config().isAutoRead()) {
+            selectorNotified = false;
+            context.channel().config().setAutoRead(autoRead);
         }
     }
 
@@ -206,23 +206,23 @@
         the connection again if there was input. The system may have lacked the memory to watch it, which the JDK does
         not report. */
     void readUnlessNotified() {
-        if (watched || rearming || hasBufferedData() || !(context.channel() instanceof TcpChannel connection)) {
+        if (selectorNotified || rearmingSelector || hasBufferedData() || !(context.channel() instanceof TcpChannel connection)) {
             return;
         }
         connection.readNow();
         if (hasBufferedData()) {
-            rearming = true;
+            rearmingSelector = true;
             updateAutoRead();
             connection.eventLoop().schedule(() -> {
-                rearming = false;
+                rearmingSelector = false;
                 updateAutoRead();
-            }, REARM_MILLIS, TimeUnit.MILLISECONDS);
+            }, SELECTOR_REARM_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
-    private void release() {
-        for (ByteBuf next = held.poll(); next != null; next = held.poll()) {
-            count(-next.capacity());
+    private void releaseBuffers() {
+        for (ByteBuf next = buffers.poll(); next != null; next = buffers.poll()) {
+            addBufferedBytes(-next.capacity());
             next.release();
         }
     }
--- a/src/main/java/mastdrift/net/ReadTimingHandler.java
+++ b/src/main/java/mastdrift/net/ReadTimingHandler.java
@@ -17,8 +17,8 @@
 
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) {
-        long begunAt = monitor.begin();
+        long startedAt = monitor.begin();
         context.fireChannelRead(message);
-        monitor.ended(task, begunAt);
+        monitor.ended(task, startedAt);
     }
 }
--- a/src/main/java/mastdrift/net/RequestReadTimer.java
+++ b/src/main/java/mastdrift/net/RequestReadTimer.java
@@ -10,28 +10,28 @@
         */
     static final long HEAD_TIMEOUT_MICROS = 2_600_000;
     // Half of the rate at which clients send, 64 kB a second, is accepted; so is a pause of this length.
-    private static final double BODY_MICROS_A_BYTE = 1e6 / 32_000;
-    private static final long BODY_PAUSE_MICROS = 2_000_000;
+    private static final double BODY_MICROS_PER_BYTE = 1e6 / 32_000;
+    private static final long BODY_STALL_TIMEOUT_MICROS = 2_000_000;
 
-    private long since;  // time of the request's first byte, 0 while no request is being read
-    private long readAt;
+    private long startedAt;  // time of the request's first byte, 0 while no request is being read
+    private long lastReadAt;
     private long pausedAt;  // 0 while reading is not paused
 
     /** Whether a request has been read in part. */
     boolean isRunning() {
-        return since != 0;
+        return startedAt != 0;
     }
 
     void start(long now) {
-        since = since == 0 ? now : since;
+        startedAt = startedAt == 0 ? now : startedAt;
     }
 
     void stop() {
-        since = 0;
+        startedAt = 0;
     }
 
     void dataReceived(long now) {
-        readAt = now;
+        lastReadAt = now;
     }
 
     /** Pauses or continues the timer; false if that changes nothing. */
@@ -40,8 +40,8 @@
             return false;
         }
         if (!paused) {
-            readAt = now;
-            since += since == 0 ? 0 : now - pausedAt;
+            lastReadAt = now;
+            startedAt += startedAt == 0 ? 0 : now - pausedAt;
         }
         pausedAt = paused ? now : 0;
         return true;
@@ -49,10 +49,10 @@
 
     /** Whether the request that is being read, with {@code bodyBytes} of its body, is too slow. {@code connectedAt} is
         when the client connected, or 0 if an earlier request came on the connection. */
-    boolean isExpired(long now, long came, long bytes) {
-        long taken = now - (came == 0 ? since : came);
-        boolean slow = taken > HEAD_TIMEOUT_MICROS + bytes * BODY_MICROS_A_BYTE;
-        boolean stalled = taken > HEAD_TIMEOUT_MICROS && now - readAt > BODY_PAUSE_MICROS;
+    boolean isExpired(long now, long connectedAt, long bodyBytes) {
+        long elapsed = now - (connectedAt == 0 ? startedAt : connectedAt);
+        boolean slow = elapsed > HEAD_TIMEOUT_MICROS + bodyBytes * BODY_MICROS_PER_BYTE;
+        boolean stalled = elapsed > HEAD_TIMEOUT_MICROS && now - lastReadAt > BODY_STALL_TIMEOUT_MICROS;
         return isRunning() && pausedAt == 0 && (slow || stalled);
     }
 }
--- a/src/main/java/mastdrift/net/TcpChannel.java
+++ b/src/main/java/mastdrift/net/TcpChannel.java
@@ -21,13 +21,13 @@
     private static final int END_OF_STREAM = -1;
     private static final int NOTHING_READ = 0;
     // The JDK reports ENOBUFS and ENOMEM by the system's message alone.
-    private static final List<String> SHORTAGES = List.of("no buffer space available", "cannot allocate memory");
+    private static final List<String> SHORTAGE_MESSAGES = List.of("no buffer space available", "cannot allocate memory");
     // System calls that set up an accepted connection may fail though the connection is sound; closing it would lose
     // its client's request.
-    private static final int ADOPT_TRIES = 100;
+    private static final int MAX_ADOPT_TRIES = 100;
 
     private long maxAcceptQueueMicros;
-    private boolean readAhead;
+    private boolean readingUnprompted;
 
     /** A channel that is not connected yet. */
     TcpChannel() { }
@@ -43,7 +43,7 @@
             try {
                 return new TcpChannel(parent, connection);
             } catch (ChannelException failure) {
-                if (tries >= ADOPT_TRIES || !connection.isOpen()) {
+                if (tries >= MAX_ADOPT_TRIES || !connection.isOpen()) {
                     connection.close();
                     throw failure;
                 }
@@ -52,8 +52,8 @@
     }
 
     /** Sets the longest time that the connection may have waited in the accept queue while accepting was paused. */
-    void maxAcceptQueueMicros(long span) {
-        maxAcceptQueueMicros = span;
+    void maxAcceptQueueMicros(long micros) {
+        maxAcceptQueueMicros = micros;
     }
 
     /** The longest time, in microseconds, that the connection may have waited in the accept queue. */
@@ -65,18 +65,18 @@
         Does nothing while reading is paused. Must be called on the loop's thread. */
     void readNow() {
         if (isActive() && config().isAutoRead()) {
-            readAhead = true;
+            readingUnprompted = true;
             try {
                 unsafe().read();
             } finally {
-                readAhead = false;
+                readingUnprompted = false;
             }
         }
     }
 
     /** Whether the current read comes from {@link #readNow} rather than from the selector. */
     boolean isReadingUnprompted() {
-        return readAhead;
+        return readingUnprompted;
     }
 
     @Override
@@ -102,7 +102,7 @@
     /** Whether the system lacked memory or buffers for a moment, which does not concern the connection itself. */
     static boolean isShortage(IOException failure) {
         String text = String.valueOf(failure.getMessage()).toLowerCase(Locale.ROOT);
-        return SHORTAGES.stream().anyMatch(text::contains);
+        return SHORTAGE_MESSAGES.stream().anyMatch(text::contains);
     }
 
     /** The user event that a pipeline gets each time that a write is deferred. */
--- a/src/main/java/mastdrift/net/TcpServerChannel.java
+++ b/src/main/java/mastdrift/net/TcpServerChannel.java
@@ -20,83 +20,83 @@
 
     /** Pause after a failed accept call. */
     static final long ACCEPT_RETRY_MILLIS = 5;
-    private static final int TRIES_AT_ONCE = 8;
+    private static final int MAX_IMMEDIATE_TRIES = 8;
     // Failed accept calls after which the queue is given up when the socket is to be closed.
-    private static final int LAST_TRIES = 100;
+    private static final int MAX_CLOSING_TRIES = 100;
 
     // By this time after a pause, the loop has accepted from the queue.
-    private static final long LOOKED_MILLIS = 1;
+    private static final long QUEUE_READ_MILLIS = 1;
     // By this time the selector has processed that the socket is not to be watched.
-    private static final long REARM_MILLIS = 1;
+    private static final long SELECTOR_REARM_MILLIS = 1;
 
     private final LongSupplier clock;
-    private final Consumer<Exception> failures;
-    private final LongConsumer accepted;
-    private boolean wanted = true;
-    private boolean resting;
-    private boolean rearming;
-    private boolean watched;  // the selector has reported a connection since accepting last began
-    private boolean looking;  // accepting without a report of the selector
-    private long lookedAt;
-    private boolean draining;  // the last accept call found a connection, so more may follow
-    private boolean blocked;  // the queue may hold connections that arrived during a pause
-    private long blockedSince;
+    private final Consumer<Exception> onFailure;
+    private final LongConsumer onAcceptEnded;
+    private boolean acceptingRequested = true;
+    private boolean backingOff;
+    private boolean rearmingSelector;
+    private boolean selectorNotified;  // the selector has reported a connection since accepting last began
+    private boolean polling;  // accepting without a report of the selector
+    private long polledAt;
+    private boolean queueNotEmpty;  // the last accept call found a connection, so more may follow
+    private boolean mayHaveQueued;  // the queue may hold connections that arrived during a pause
+    private long queuedSince;
 
     /** A socket to be bound. {@code onFailure} receives the exception of each failed accept call; the clock counts
         microseconds from an arbitrary origin. */
-    TcpServerChannel(LongSupplier clock, Consumer<Exception> failures) {
-        this(clock, failures, begunAt -> { });
+    TcpServerChannel(LongSupplier clock, Consumer<Exception> onFailure) {
+        this(clock, onFailure, begunAt -> { });
     }
 
     /** As above; {@code onAcceptEnded} receives, after each round of accept calls, the time at which it started. */
-    TcpServerChannel(LongSupplier clock, Consumer<Exception> failures, LongConsumer accepted) {
+    TcpServerChannel(LongSupplier clock, Consumer<Exception> onFailure, LongConsumer onAcceptEnded) {
         this.clock = clock;
-        this.failures = failures;
-        this.accepted = accepted;
+        this.onFailure = onFailure;
+        this.onAcceptEnded = onAcceptEnded;
     }
 
     /** A socket that was bound by another process, which may still hold it. */
-    TcpServerChannel(ServerSocketChannel passed, LongSupplier clock, Consumer<Exception> failures, LongConsumer accepted) {
-        super(passed);
+    TcpServerChannel(ServerSocketChannel inherited, LongSupplier clock, Consumer<Exception> onFailure, LongConsumer onAcceptEnded) {
+        super(inherited);
         this.clock = clock;
-        this.failures = failures;
-        this.accepted = accepted;
+        this.onFailure = onFailure;
+        this.onAcceptEnded = onAcceptEnded;
     }
 
     /** Starts or stops accepting connections. */
-    void setAccepting(boolean accepts) {
-        wanted = accepts;
-        apply();
+    void setAccepting(boolean accepting) {
+        acceptingRequested = accepting;
+        updateAutoRead();
     }
 
-    private boolean accepts() {
-        return wanted && !resting && !rearming;
+    private boolean isAccepting() {
+        return acceptingRequested && !backingOff && !rearmingSelector;
     }
 
-    private void apply() {
-        boolean accepts = accepts();
-        watched &= accepts && config().isAutoRead();
-        if (!accepts) {
-            block();
-        } else if (blocked && isRegistered()) {
+    private void updateAutoRead() {
+        boolean accepting = isAccepting();
+        selectorNotified &= accepting && config().isAutoRead();
+        if (!accepting) {
+            markPaused();
+        } else if (mayHaveQueued && isRegistered()) {
             // A timer that one of the loop's tasks sets runs only after the loop has processed all sockets.
-            eventLoop().execute(() -> eventLoop().schedule(this::unblockUnlessPaused, LOOKED_MILLIS, TimeUnit.MILLISECONDS));
+            eventLoop().execute(() -> eventLoop().schedule(this::clearPauseMark, QUEUE_READ_MILLIS, TimeUnit.MILLISECONDS));
         }
-        config().setAutoRead(accepts);
+        config().setAutoRead(accepting);
     }
 
-    private void block() {
-        if (!blocked) {
-            blocked = true;
-            blockedSince = clock.getAsLong();
+    private void markPaused() {
+        if (!mayHaveQueued) {
+            mayHaveQueued = true;
+            queuedSince = clock.getAsLong();
         }
     }
 
     /** Connections that have not been accepted by now arrived after the pause. While some are being accepted, the mark
         is cleared when the queue is found empty. */
-    private void unblockUnlessPaused() {
-        if (accepts() && !draining) {
-            blocked = false;
+    private void clearPauseMark() {
+        if (isAccepting() && !queueNotEmpty) {
+            mayHaveQueued = false;
         }
     }
 
@@ -104,27 +104,27 @@
         The system may have lacked the memory to watch this socket, which the JDK does not report. */
     void pollUnlessNotified() {
         long now = clock.getAsLong();
-        if (!watched && accepts() && isActive()) {
-            boolean wasBlocked = blocked;
-            blocked = true;
-            blockedSince = wasBlocked ? blockedSince : lookedAt;
-            draining = false;
-            looking = true;
+        if (!selectorNotified && isAccepting() && isActive()) {
+            boolean hadQueued = mayHaveQueued;
+            mayHaveQueued = true;
+            queuedSince = hadQueued ? queuedSince : polledAt;
+            queueNotEmpty = false;
+            polling = true;
             unsafe().read();
-            looking = false;
-            blocked &= wasBlocked;
+            polling = false;
+            mayHaveQueued &= hadQueued;
         }
-        lookedAt = now;
+        polledAt = now;
     }
 
     /** Makes the selector watch the socket again. */
-    private void rearm() {
-        rearming = true;
-        apply();
+    private void rearmSelector() {
+        rearmingSelector = true;
+        updateAutoRead();
         eventLoop().schedule(() -> {
-            rearming = false;
-            apply();
-        }, REARM_MILLIS, TimeUnit.MILLISECONDS);
+            rearmingSelector = false;
+            updateAutoRead();
+        }, SELECTOR_REARM_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     /** Accepts one connection. A call that fails, or finds none although the selector reported one, is repeated at once
@@ -132,34 +132,34 @@
         before. */
     @Override
     protected int doReadMessages(List<Object> into) throws Exception {
-        long begunAt = clock.getAsLong();
-        watched |= !looking;
+        long startedAt = clock.getAsLong();
+        selectorNotified |= !polling;
         try {
-            int taken = acceptWithRetries(into);
-            if (taken > 0 && looking && !rearming) {
-                rearm();
+            int accepted = acceptWithRetries(into);
+            if (accepted > 0 && polling && !rearmingSelector) {
+                rearmSelector();
             }
-            return taken;
+            return accepted;
         } finally {
-            accepted.accept(begunAt);
+            onAcceptEnded.accept(startedAt);
         }
     }
 
     private int acceptWithRetries(List<Object> into) throws Exception {
-        boolean told = into.isEmpty();
+        boolean firstOfTurn = into.isEmpty();
         for (int tries = 1; true; tries++) {
             try {
-                int taken = take(into);
-                if (taken > 0 || !told || tries == TRIES_AT_ONCE) {
-                    return taken;
+                int accepted = acceptOne(into);
+                if (accepted > 0 || !firstOfTurn || tries == MAX_IMMEDIATE_TRIES) {
+                    return accepted;
                 }
             } catch (IOException | ChannelException failure) {
                 if (!isOpen()) {
                     throw failure;
                 }
-                failures.accept(failure);
-                if (tries == TRIES_AT_ONCE) {
-                    rest();
+                onFailure.accept(failure);
+                if (tries == MAX_IMMEDIATE_TRIES) {
+                    backOff();
                     return 0;
                 }
             }
@@ -167,56 +167,56 @@
     }
 
     /** Accepts one connection if there is one; returns the number accepted. */
-    private int take(List<Object> into) throws IOException {
+    private int acceptOne(List<Object> into) throws IOException {
         SocketChannel accepted = javaChannel().accept();
         if (accepted == null) {
-            draining = false;
-            blocked = false;
+            queueNotEmpty = false;
+            mayHaveQueued = false;
             return 0;
         }
-        draining = true;
+        queueNotEmpty = true;
         TcpChannel connection = TcpChannel.adopt(this, accepted);
-        connection.maxAcceptQueueMicros(blocked ? clock.getAsLong() - blockedSince : 0);
+        connection.maxAcceptQueueMicros(mayHaveQueued ? clock.getAsLong() - queuedSince : 0);
         into.add(connection);
         return 1;
     }
 
-    private void rest() {
-        if (resting) {
+    private void backOff() {
+        if (backingOff) {
             return;
         }
-        resting = true;
-        apply();
+        backingOff = true;
+        updateAutoRead();
         eventLoop().schedule(() -> {
-            resting = false;
-            apply();
+            backingOff = false;
+            updateAutoRead();
         }, ACCEPT_RETRY_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     /** Accepts the connections in the queue, up to {@code maxConnections}, and closes the socket after the last. */
-    void drainAndClose(int most) {
-        drainAndClose(most, LAST_TRIES);
+    void drainAndClose(int maxConnections) {
+        drainAndClose(maxConnections, MAX_CLOSING_TRIES);
     }
 
-    private void drainAndClose(int most, int tries) {
+    private void drainAndClose(int maxConnections, int triesLeft) {
         if (!isOpen()) {
             return;
         }
         List<Object> accepted = new ArrayList<>();
         boolean failed = false;
         try {
-            while (accepted.size() < most && take(accepted) > 0) {
+            while (accepted.size() < maxConnections && acceptOne(accepted) > 0) {
                 continue;
             }
         } catch (IOException | ChannelException failure) {
-            failures.accept(failure);
+            onFailure.accept(failure);
             failed = true;
         }
         accepted.forEach(pipeline()::fireChannelRead);
         pipeline().fireChannelReadComplete();
-        int left = most - accepted.size();
-        if (failed && left > 0 && tries > 1) {
-            eventLoop().schedule(() -> drainAndClose(left, tries - 1), ACCEPT_RETRY_MILLIS, TimeUnit.MILLISECONDS);
+        int remaining = maxConnections - accepted.size();
+        if (failed && remaining > 0 && triesLeft > 1) {
+            eventLoop().schedule(() -> drainAndClose(remaining, triesLeft - 1), ACCEPT_RETRY_MILLIS, TimeUnit.MILLISECONDS);
         } else {
             close();
         }
--- a/src/test/java/mastdrift/net/ConnectionLimitTest.java
+++ b/src/test/java/mastdrift/net/ConnectionLimitTest.java
@@ -17,21 +17,21 @@
 /** Which connection is closed at the limit on client connections. */
 class ConnectionLimitTest {
 
-    private static final Duration ENOUGH = Duration.ofSeconds(Loopback.WAIT_SECONDS);
+    private static final Duration TIMEOUT = Duration.ofSeconds(Loopback.WAIT_SECONDS);
 
     private final EventLoop loop = Main.newEventLoop();
-    private final List<Boolean> accepts = new ArrayList<>();
-    private final ConnectionLimit<Place> limit = new ConnectionLimit<>(loop, 2, accepts::add, () -> { });
+    private final List<Boolean> acceptSwitches = new ArrayList<>();
+    private final ConnectionLimit<TestConnection> limit = new ConnectionLimit<>(loop, 2, acceptSwitches::add, () -> { });
 
-    private final class Place implements ConnectionLimit.Evictable {
+    private final class TestConnection implements ConnectionLimit.Evictable {
 
         private final boolean active;
         private boolean sending;
         private boolean unread;
-        private boolean ended;
+        private boolean closedGracefully;
         private boolean closed;
 
-        Place(boolean active) {
+        TestConnection(boolean active) {
             this.active = active;
             limit.add(this);
         }
@@ -49,7 +49,7 @@
         @Override
         public void closeGracefully() {
             if (active) {
-                ended = true;
+                closedGracefully = true;
                 limit.startedLingering(this);
             }
         }
@@ -62,17 +62,17 @@
     }
 
     @AfterEach
-    void end() {
+    void shutDownLoop() {
         loop.parent().shutdownGracefully(0, 0, TimeUnit.SECONDS).syncUninterruptibly();
     }
 
-    private Place came(boolean active) throws Exception {
-        return loop.submit(() -> new Place(active)).get();
+    private TestConnection addConnection(boolean active) throws Exception {
+        return loop.submit(() -> new TestConnection(active)).get();
     }
 
-    private void until(Callable<Boolean> holds) {
-        assertTimeoutPreemptively(ENOUGH, () -> {
-            while (!loop.submit(holds).get()) {
+    private void awaitCondition(Callable<Boolean> condition) {
+        assertTimeoutPreemptively(TIMEOUT, () -> {
+            while (!loop.submit(condition).get()) {
                 Thread.onSpinWait();
             }
         });
@@ -80,47 +80,47 @@
 
     /** Guards against an endless loop over a connection that has closed by itself and has not been removed yet. */
     @Test
-    void whoHasEndedByItselfIsNotMetAgain() throws Exception {
-        Place next = loop.submit(() -> List.of(new Place(false), new Place(true), new Place(true))).get().get(1);
-        until(() -> next.ended);
-        assertEquals(true, loop.submit(() -> accepts.get(accepts.size() - 1)).get());
+    void doesNotChooseClosedConnectionTwice() throws Exception {
+        TestConnection oldest = loop.submit(() -> List.of(new TestConnection(false), new TestConnection(true), new TestConnection(true))).get().get(1);
+        awaitCondition(() -> oldest.closedGracefully);
+        assertEquals(true, loop.submit(() -> acceptSwitches.get(acceptSwitches.size() - 1)).get());
     }
 
     @Test
-    void whoIsSendingOrHasNotBeenLookedAtGoesLast() throws Exception {
-        Place unread = came(true);
-        Place sending = came(true);
-        Place third = loop.submit(() -> {
+    void evictsSendingAndUnreadConnectionsLast() throws Exception {
+        TestConnection unread = addConnection(true);
+        TestConnection sending = addConnection(true);
+        TestConnection third = loop.submit(() -> {
             unread.unread = true;
             sending.sending = true;
-            return new Place(true);
+            return new TestConnection(true);
         }).get();
-        until(() -> third.ended);
-        assertFalse(unread.ended || sending.ended);
-        came(true);
+        awaitCondition(() -> third.closedGracefully);
+        assertFalse(unread.closedGracefully || sending.closedGracefully);
+        addConnection(true);
         assertTrue(third.closed);  // a connection in a lingering close is replaced by the next new one
     }
 
     /** Guards against closing a new connection before its client has had the time to write, though others are idle. */
     @Test
-    void whoHasAskedBeforeMakesRoomForTheNewcomer() throws Exception {
-        List<Place> rested = loop.submit(() -> List.of(new Place(true), new Place(true))).get();
-        Place newcomer = loop.submit(() -> {
-            rested.forEach(limit::requestReceived);
-            rested.forEach(limit::becameIdle);
-            return new Place(true);
+    void evictsIdleConnectionBeforeTheNewest() throws Exception {
+        List<TestConnection> idle = loop.submit(() -> List.of(new TestConnection(true), new TestConnection(true))).get();
+        TestConnection newcomer = loop.submit(() -> {
+            idle.forEach(limit::requestReceived);
+            idle.forEach(limit::becameIdle);
+            return new TestConnection(true);
         }).get();
-        until(() -> rested.get(0).ended || newcomer.ended);
-        assertFalse(newcomer.ended || rested.get(1).ended);
+        awaitCondition(() -> idle.get(0).closedGracefully || newcomer.closedGracefully);
+        assertFalse(newcomer.closedGracefully || idle.get(1).closedGracefully);
     }
 
     /** Guards against running out of descriptors under a flood of connections: several that come in one turn of the
         loop each replace another lingering one. */
     @Test
-    void newcomersOfOneTurnCloseAsManyWhoLinger() throws Exception {
-        List<Place> first = loop.submit(() -> List.of(new Place(true), new Place(true), new Place(true), new Place(true))).get();
-        until(() -> first.stream().filter(place -> place.ended).count() == 2);
-        loop.submit(() -> List.of(new Place(true), new Place(true))).get();
+    void newConnectionsOfOneTurnEachReplaceALingeringOne() throws Exception {
+        List<TestConnection> first = loop.submit(() -> List.of(new TestConnection(true), new TestConnection(true), new TestConnection(true), new TestConnection(true))).get();
+        awaitCondition(() -> first.stream().filter(place -> place.closedGracefully).count() == 2);
+        loop.submit(() -> List.of(new TestConnection(true), new TestConnection(true))).get();
         assertEquals(2, first.stream().filter(place -> place.closed).count());
     }
 }
--- a/src/test/java/mastdrift/net/EndingsTest.java
+++ b/src/test/java/mastdrift/net/EndingsTest.java
@@ -46,29 +46,29 @@
     @TempDir
     private Path folder;
 
-    private static String up(String uid, String address) {
+    private static String inService(String uid, String address) {
         return hostEntry(uid, address, "a", "in_service");
     }
 
-    private GatewayNode node(Server discovery, String settings, String... entries) throws Exception {
+    private GatewayNode startNode(Server discovery, String settings, String... entries) throws Exception {
         return new GatewayNode(environment(folder, discovery, hostList(1, true, entries), settings));
     }
 
-    private static void until(BooleanSupplier holds) throws InterruptedException {
+    private static void awaitCondition(BooleanSupplier condition) throws InterruptedException {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(Loopback.WAIT_SECONDS);
-        while (!holds.getAsBoolean()) {
+        while (!condition.getAsBoolean()) {
             assertTrue(System.nanoTime() < end, "not within the timeout");
             Thread.sleep(5);
         }
     }
 
-    private static void untilLogged(GatewayNode node, String text) throws InterruptedException {
-        until(() -> node.log.toString(StandardCharsets.UTF_8).contains(text));
+    private static void awaitLogged(GatewayNode node, String text) throws InterruptedException {
+        awaitCondition(() -> node.log.toString(StandardCharsets.UTF_8).contains(text));
     }
 
     /** Waits until all exchanges have ended and no resources are held for them. */
-    private static void assertNothingIsOwed(GatewayNode node) throws Exception {
-        until(() -> {
+    private static void awaitIdle(GatewayNode node) throws Exception {
+        awaitCondition(() -> {
             try {
                 return node.loop.submit(() -> node.server.gateway().isIdle() && node.server.hasNoReadAheadData()).get();
             } catch (Exception e) {
@@ -80,21 +80,21 @@
     /** Guards against a second execution: a retry is decided within the deduplication window, but its connection may be
         established after the window. */
     @Test
-    void aFurtherAttemptIsNotWrittenOnceItsWindowIsOver() throws Exception {
+    void doesNotRetryAfterTheDeduplicationWindow() throws Exception {
         String settings = SETTINGS.replace("\"dedup_window\":60000000", "\"dedup_window\":5000000");
-        try (Server discovery = discoveryServer(); Server first = new Server(message -> { }); FullBacklogHost late = new FullBacklogHost();
-                GatewayNode node = node(discovery, settings, up("s1", first.address()))) {
+        try (Server discovery = discoveryServer(); Server first = new Server(message -> { }); FullBacklogHost fullHost = new FullBacklogHost();
+                GatewayNode node = startNode(discovery, settings, inService("s1", first.address()))) {
             Socket client = node.connect();
             write(client, post("start", 20_000, "x"));
-            Message taken = await(first.received);
-            sendListLine(await(discovery.received).socket(), hostList(2, false, up("s2", late.address())));
-            untilLogged(node, "list 2");
-            taken.socket().close();  // the request may have run
-            until(() -> counted(node, Tally.Count.HOST_DIALS) == 2);
+            Message firstAttempt = await(first.received);
+            sendListLine(await(discovery.received).socket(), hostList(2, false, inService("s2", fullHost.address())));
+            awaitLogged(node, "list 2");
+            firstAttempt.socket().close();  // the request may have run
+            awaitCondition(() -> count(node, Tally.Count.HOST_DIALS) == 2);
             node.advanceClock(5_000);
-            assertEquals(-1, late.acceptConnections().getInputStream().read());
+            assertEquals(-1, fullHost.acceptConnections().getInputStream().read());
             assertEquals(502, Loopback.read(client).status());
-            assertNothingIsOwed(node);
+            awaitIdle(node);
         }
     }
 
@@ -102,21 +102,21 @@
         established is not sent on it, whether or not the settings let attempts be cancelled. */
     @ParameterizedTest
     @CsvSource({"true, false", "true, true", "false, false", "false, true"})
-    void whatAClientLeftBehindIsNotSentOn(boolean cancel, boolean reset) throws Exception {
+    void doesNotSendRequestOfDisconnectedClient(boolean cancel, boolean reset) throws Exception {
         String settings = SETTINGS.replace("\"cancel\":true", "\"cancel\":" + cancel)
                 .replace("\"dial_timeout\":20000000", "\"dial_timeout\":600000000");
-        try (Server discovery = discoveryServer(); FullBacklogHost late = new FullBacklogHost();
-                GatewayNode node = node(discovery, settings, up("s1", late.address()))) {
+        try (Server discovery = discoveryServer(); FullBacklogHost fullHost = new FullBacklogHost();
+                GatewayNode node = startNode(discovery, settings, inService("s1", fullHost.address()))) {
             Socket client = node.connect();
             write(client, read(60_000));
-            until(() -> counted(node, Tally.Count.HOST_DIALS) == 1);
+            awaitCondition(() -> count(node, Tally.Count.HOST_DIALS) == 1);
             if (reset) {
                 client.setSoLinger(true, 0);
             }
             client.close();
-            until(() -> counted(node, Tally.Count.DEPARTED) == 1);
-            assertNothingIsOwed(node);  // without waiting for the connection
-            assertEquals(0, counted(node, Tally.Count.ATTEMPTS_WRITTEN));
+            awaitCondition(() -> count(node, Tally.Count.DEPARTED) == 1);
+            awaitIdle(node);  // without waiting for the connection
+            assertEquals(0, count(node, Tally.Count.ATTEMPTS_WRITTEN));
         }
     }
 
@@ -124,35 +124,35 @@
         connection to a host. */
     @ParameterizedTest
     @CsvSource({"100000, true", "100000, false", "600000, true", "600000, false"})
-    void whatAClientLeftBehindIsNotSentOnThoughReadingPauses(int length, boolean reset) throws Exception {
+    void noticesDisconnectWhileReadingIsPaused(int length, boolean reset) throws Exception {
         String settings = SETTINGS.replace("\"dial_timeout\":20000000", "\"dial_timeout\":600000000");
-        try (Server discovery = discoveryServer(); FullBacklogHost late = new FullBacklogHost();
-                GatewayNode node = node(discovery, settings, up("s1", late.address()))) {
+        try (Server discovery = discoveryServer(); FullBacklogHost fullHost = new FullBacklogHost();
+                GatewayNode node = startNode(discovery, settings, inService("s1", fullHost.address()))) {
             Socket client = node.connect();
             write(client, post("start", 60_000, "x".repeat(length)).substring(0, length));  // without its end
-            until(() -> counted(node, Tally.Count.HOST_DIALS) == 1);
+            awaitCondition(() -> count(node, Tally.Count.HOST_DIALS) == 1);
             if (reset) {
                 client.setSoLinger(true, 0);
             }
             client.close();
-            until(() -> counted(node, Tally.Count.DEPARTED) == 1);
-            assertNothingIsOwed(node);
-            assertEquals(0, counted(node, Tally.Count.ATTEMPTS_WRITTEN));
+            awaitCondition(() -> count(node, Tally.Count.DEPARTED) == 1);
+            awaitIdle(node);
+            assertEquals(0, count(node, Tally.Count.ATTEMPTS_WRITTEN));
         }
     }
 
     @Test
-    void whatWaitsBehindARequestThatIsOutGoesWithItsClient() throws Exception {
+    void dropsPipelinedRequestsOfDisconnectedClient() throws Exception {
         try (Server discovery = discoveryServer(); Server host = new Server(message -> { });
-                GatewayNode node = node(discovery, SETTINGS, up("s1", host.address()))) {
+                GatewayNode node = startNode(discovery, SETTINGS, inService("s1", host.address()))) {
             Socket client = node.connect();
             write(client, read(20_000) + read(20_000).replace("9b1f", "9b20"));
             await(host.received);
             client.close();
-            until(() -> counted(node, Tally.Count.DEPARTED) == 1);
-            assertNothingIsOwed(node);
-            assertEquals(1, counted(node, Tally.Count.TAKEN));
-            assertEquals(1, counted(node, Tally.Count.ATTEMPTS_WRITTEN));
+            awaitCondition(() -> count(node, Tally.Count.DEPARTED) == 1);
+            awaitIdle(node);
+            assertEquals(1, count(node, Tally.Count.TAKEN));
+            assertEquals(1, count(node, Tally.Count.ATTEMPTS_WRITTEN));
         }
     }
 
@@ -160,9 +160,9 @@
         one that is at a host. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void whoLeavesBehindManyRequestsIsMissedWhileTheFirstIsOut(boolean reset) throws Exception {
+    void noticesDisconnectBehindManyPipelinedRequests(boolean reset) throws Exception {
         try (Server discovery = discoveryServer(); Server host = new Server(message -> { });
-                GatewayNode node = node(discovery, SETTINGS, up("s1", host.address()))) {
+                GatewayNode node = startNode(discovery, SETTINGS, inService("s1", host.address()))) {
             Socket client = node.connect();
             write(client, read(20_000));
             await(host.received);
@@ -175,33 +175,33 @@
                 client.setSoLinger(true, 0);
             }
             client.close();
-            until(() -> counted(node, Tally.Count.DEPARTED) == 1);
-            assertNothingIsOwed(node);
-            assertEquals(1, counted(node, Tally.Count.ATTEMPTS_WRITTEN));
+            awaitCondition(() -> count(node, Tally.Count.DEPARTED) == 1);
+            awaitIdle(node);
+            assertEquals(1, count(node, Tally.Count.ATTEMPTS_WRITTEN));
         }
     }
 
     /** What happens while the gateway's event loop is blocked. */
-    private interface Outside {
-        void happens() throws Exception;
+    private interface Action {
+        void run() throws Exception;
     }
 
-    private static void whileStill(GatewayNode node, Outside outside) throws Exception {
-        CountDownLatch held = new CountDownLatch(1);
-        CountDownLatch goOn = new CountDownLatch(1);
+    private static void whileLoopBlocked(GatewayNode node, Action action) throws Exception {
+        CountDownLatch blocked = new CountDownLatch(1);
+        CountDownLatch resume = new CountDownLatch(1);
         node.loop.execute(() -> {
-            held.countDown();
+            blocked.countDown();
             try {
-                goOn.await();
+                resume.await();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
         });
-        held.await();
+        blocked.await();
         try {
-            outside.happens();
+            action.run();
         } finally {
-            goOn.countDown();
+            resume.countDown();
         }
     }
 
@@ -209,16 +209,16 @@
         late, both the requests and the disconnects wait in the sockets. */
     @ParameterizedTest
     @CsvSource({"1, true", "1, false", "3, true", "3, false"})
-    void whoHaveGoneByTheTimeTheirRequestsAreReadAreNotSentOn(int most, boolean reset) throws Exception {
+    void doesNotSendRequestsReadTogetherWithTheDisconnect(int clientCount, boolean reset) throws Exception {
         try (Server discovery = discoveryServer(); Server host = Loopback.hostResponding("one");
-                GatewayNode node = node(discovery, SETTINGS, up("s1", host.address()))) {
+                GatewayNode node = startNode(discovery, SETTINGS, inService("s1", host.address()))) {
             List<Socket> clients = new ArrayList<>();
-            for (int i = 0; i < most; i++) {
+            for (int i = 0; i < clientCount; i++) {
                 clients.add(node.connect());
                 write(clients.get(i), "GET /ready HTTP/1.1\r\n\r\n");
                 assertEquals(200, Loopback.read(clients.get(i)).status());
             }
-            whileStill(node, () -> {
+            whileLoopBlocked(node, () -> {
                 for (Socket client : clients) {
                     write(client, read(20_000).replace("9b1f", "a" + client.getLocalPort()));
                     if (reset) {
@@ -228,13 +228,13 @@
                 }
             });
             assertEquals(200, node.sendRequest("GET /ready HTTP/1.1\r\n\r\n").status());  // all that waited in the sockets has been read
-            assertNothingIsOwed(node);
-            assertEquals(0, counted(node, Tally.Count.TAKEN));
+            awaitIdle(node);
+            assertEquals(0, count(node, Tally.Count.TAKEN));
             assertEquals(0, host.received.size());
         }
     }
 
-    private GatewayNode wideNode(Server discovery, String... entries) throws Exception {
+    private GatewayNode startNodeWithManyConnections(Server discovery, String... entries) throws Exception {
         Map<String, String> environment = environment(folder, discovery, hostList(1, true, entries), SETTINGS);
         Path file = Path.of(environment.get("NODE_CONFIG"));
         Files.writeString(file, Files.readString(file).replace("\"sockets\":64", "\"sockets\":256"));
@@ -244,13 +244,13 @@
     /** Guards against resetting connections that wait in the accept queue, with requests on them, when the listening
         socket is closed. */
     @Test
-    void aStopTakesWhatTheSystemHasAccepted() throws Exception {
+    void shutdownServesConnectionsInTheAcceptQueue() throws Exception {
         CountDownLatch stopped = new CountDownLatch(1);
         try (Server discovery = discoveryServer(); Server host = Loopback.hostResponding("one");
-                GatewayNode node = wideNode(discovery, up("s1", host.address()))) {
+                GatewayNode node = startNodeWithManyConnections(discovery, inService("s1", host.address()))) {
             List<Socket> clients = new ArrayList<>();
             node.loop.submit(() -> node.server.stop(stopped::countDown)).sync();
-            whileStill(node, () -> {
+            whileLoopBlocked(node, () -> {
                 for (int i = 0; i < 40; i++) {  // more than are accepted in a turn of the loop
                     Socket client = node.connect();
                     write(client, read(20_000).replace("9b1f", "a" + i));
@@ -262,18 +262,18 @@
                 assertEquals("one", Loopback.read(client).bodyText());
             }
             assertTrue(stopped.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS));
-            assertNothingIsOwed(node);
+            awaitIdle(node);
         }
     }
 
     /** Guards against closing a new connection at the limit before its request, which waits in its socket, has been
         read. */
     @Test
-    void whoHasJustComeMakesNoRoomUnheard() throws Exception {
+    void doesNotEvictNewConnectionBeforeItsFirstRead() throws Exception {
         try (Server discovery = discoveryServer(); Server host = Loopback.hostResponding("one");
-                GatewayNode node = node(discovery, SETTINGS, up("s1", host.address()))) {
+                GatewayNode node = startNode(discovery, SETTINGS, inService("s1", host.address()))) {
             List<Socket> clients = new ArrayList<>();
-            whileStill(node, () -> {
+            whileLoopBlocked(node, () -> {
                 for (int i = 0; i < 14; i++) {  // 64 descriptors allow 8 client connections
                     Socket client = node.connect();
                     write(client, read(20_000).replace("9b1f", "a" + i));
@@ -283,7 +283,7 @@
             for (Socket client : clients) {
                 assertNotNull(Loopback.read(client), "closed without a response");  // 7 of 8 connections may have open requests
             }
-            assertNothingIsOwed(node);
+            awaitIdle(node);
         }
     }
 
@@ -291,38 +291,38 @@
         eighth of the connections is left beyond the open requests, so that further clients are refused and no
         connection with an open request is closed. */
     @Test
-    void atTheBoundWhoComesIsAnswered() throws Exception {
+    void refusesFurtherRequestsAtTheConnectionLimit() throws Exception {
         try (Server discovery = discoveryServer(); Server host = new Server(message -> { });
-                GatewayNode node = node(discovery, SETTINGS, up("s1", host.address()))) {
+                GatewayNode node = startNode(discovery, SETTINGS, inService("s1", host.address()))) {
             List<Socket> busy = new ArrayList<>();
-            List<Message> out = new ArrayList<>();
+            List<Message> forwarded = new ArrayList<>();
             for (int i = 0; i < 7; i++) {  // 7 of 8 connections may have open requests
                 busy.add(node.connect());
                 write(busy.get(i), read(20_000).replace("9b1f", "a" + i));
-                out.add(await(host.received));
+                forwarded.add(await(host.received));
             }
             for (int i = 0; i < 30; i++) {  // none of which disconnects
                 Socket client = node.connect();
                 write(client, read(20_000).replace("9b1f", "b" + i));
                 assertEquals(503, Loopback.read(client).status());
             }
-            for (Message taken : out) {
+            for (Message taken : forwarded) {
                 write(taken.socket(), response("200 OK", "one"));
             }
             for (Socket client : busy) {
                 assertEquals("one", Loopback.read(client).bodyText());
             }
-            assertNothingIsOwed(node);
+            awaitIdle(node);
         }
     }
 
     /** Guards against resetting a client that is still sending at the end of a shutdown. */
     @Test
-    void aStopEndsWhoIsStillSendingInOrder() throws Exception {
+    void shutdownDoesNotResetClientThatIsSending() throws Exception {
         CountDownLatch stopped = new CountDownLatch(1);
         try (Server discovery = discoveryServer(); Server host = Loopback.hostResponding("one");
-                GatewayNode node = node(discovery, SETTINGS.replace("\"deadline\":60000000", "\"deadline\":1000000"),
-                        up("s1", host.address()))) {
+                GatewayNode node = startNode(discovery, SETTINGS.replace("\"deadline\":60000000", "\"deadline\":1000000"),
+                        inService("s1", host.address()))) {
             Socket client = node.connect();
             write(client, post("start", 60_000, "x".repeat(1_000)).substring(0, 600));
             node.loop.execute(() -> node.server.stop(stopped::countDown));
@@ -333,21 +333,21 @@
             }
             client.close();
             assertTrue(stopped.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS));
-            assertNothingIsOwed(node);
+            awaitIdle(node);
         }
     }
 
     /** Guards against closing a connection in the midst of its request while others are idle. */
     @Test
-    void whoIsSendingARequestDoesNotMakeRoomWhileOthersRest() throws Exception {
+    void evictsIdleConnectionBeforeOneThatIsSending() throws Exception {
         try (Server discovery = discoveryServer(); Server host = Loopback.hostResponding("one");
-                GatewayNode node = node(discovery, SETTINGS, up("s1", host.address()))) {
+                GatewayNode node = startNode(discovery, SETTINGS, inService("s1", host.address()))) {
             Socket sending = node.connect();
             write(sending, read(20_000) + read(20_000).substring(0, 40));
             assertEquals("one", Loopback.read(sending).bodyText());
-            Socket resting = node.connect();
-            write(resting, read(20_000));
-            assertEquals("one", Loopback.read(resting).bodyText());
+            Socket idle = node.connect();
+            write(idle, read(20_000));
+            assertEquals("one", Loopback.read(idle).bodyText());
             for (int i = 0; i < 6; i++) {  // 64 descriptors allow 8 client connections
                 Socket other = node.connect();
                 write(other, read(20_000));
@@ -356,47 +356,47 @@
             Socket newcomer = node.connect();
             write(newcomer, read(20_000));
             assertEquals("one", Loopback.read(newcomer).bodyText());
-            assertEquals(-1, resting.getInputStream().read());
+            assertEquals(-1, idle.getInputStream().read());
             write(sending, read(20_000).substring(40));
             assertEquals("one", Loopback.read(sending).bodyText());
         }
     }
 
     /** Reads up to a text that the peer will send. */
-    private static void readTo(Socket socket, String text) throws IOException {
-        StringBuilder got = new StringBuilder();
-        while (got.indexOf(text) < 0) {
+    private static void readUntil(Socket socket, String text) throws IOException {
+        StringBuilder received = new StringBuilder();
+        while (received.indexOf(text) < 0) {
             int next = socket.getInputStream().read();
-            assertTrue(next >= 0, got.toString());
-            got.append((char) next);
+            assertTrue(next >= 0, received.toString());
+            received.append((char) next);
         }
     }
 
     /** Whether the gateway is idle after that time, measured by a timer of the same event loop that has the deadlines,
         so that a slow machine does not change the order. */
-    private static boolean owesNothingAfter(GatewayNode node, int millis) throws Exception {
+    private static boolean isIdleAfter(GatewayNode node, int millis) throws Exception {
         return node.loop.schedule(() -> node.server.gateway().isIdle(), millis, TimeUnit.MILLISECONDS).get();
     }
 
     /** Guards against a response that ends long after its deadline, or never: it is streamed since its length is
         unknown, and then the host hangs. The client must see that it is incomplete. */
     @Test
-    void anAnswerThatHangsOnItsWayEndsWithItsDeadline() throws Exception {
-        CountDownLatch seen = new CountDownLatch(1);
-        BlockingQueue<String> hangs = new LinkedBlockingQueue<>();
+    void endsStalledResponseAtItsDeadline() throws Exception {
+        CountDownLatch clientReceived = new CountDownLatch(1);
+        BlockingQueue<String> stalls = new LinkedBlockingQueue<>();
         try (Server discovery = discoveryServer(); Server host = new Server(message -> {
             write(message.socket(), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-            while (!seen.await(20, TimeUnit.MILLISECONDS)) {
+            while (!clientReceived.await(20, TimeUnit.MILLISECONDS)) {
                 write(message.socket(), "1\r\nx\r\n");
             }
-            hangs.add("now");
-        }); GatewayNode node = node(discovery, SETTINGS, up("s1", host.address()))) {
+            stalls.add("now");
+        }); GatewayNode node = startNode(discovery, SETTINGS, inService("s1", host.address()))) {
             Socket client = node.connect();
             write(client, read(1_500));
-            readTo(client, "x");
-            seen.countDown();
-            await(hangs);
-            assertTrue(owesNothingAfter(node, 2_500));
+            readUntil(client, "x");
+            clientReceived.countDown();
+            await(stalls);
+            assertTrue(isIdleAfter(node, 2_500));
             byte[] rest = client.getInputStream().readAllBytes();
             assertFalse(new String(rest, StandardCharsets.ISO_8859_1).endsWith("\r\n0\r\n\r\n"));
         }
@@ -405,37 +405,37 @@
     /** Guards against cutting off a long response that the host is still sending: only its first bytes have a deadline.
         */
     @Test
-    void aLongAnswerMayGoOnBehindItsDeadline() throws Exception {
-        CountDownLatch seen = new CountDownLatch(1);
+    void doesNotCutOffLongResponseAtItsDeadline() throws Exception {
+        CountDownLatch checked = new CountDownLatch(1);
         try (Server discovery = discoveryServer(); Server host = new Server(message -> {
             write(message.socket(), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n20000\r\n"
                     + "x".repeat(0x20000) + "\r\n");
-            seen.await();
+            checked.await();
             write(message.socket(), "1\r\ny\r\n0\r\n\r\n");
-        }); GatewayNode node = node(discovery, SETTINGS, up("s1", host.address()))) {
+        }); GatewayNode node = startNode(discovery, SETTINGS, inService("s1", host.address()))) {
             Socket client = node.connect();
             write(client, read(20_000));
-            readTo(client, "x".repeat(1_000));
+            readUntil(client, "x".repeat(1_000));
             node.advanceClock(20_000);
-            assertFalse(owesNothingAfter(node, 1_000));
-            seen.countDown();
-            readTo(client, "y\r\n0\r\n\r\n");
-            assertNothingIsOwed(node);
+            assertFalse(isIdleAfter(node, 1_000));
+            checked.countDown();
+            readUntil(client, "y\r\n0\r\n\r\n");
+            awaitIdle(node);
         }
     }
 
     /** Guards against a response after the deadline: reading is paused while a long body waits for a connection, so the
         last byte is read long after it arrived, and the client's time has been running. */
     @Test
-    void aLongBodyThatWaitedForAConnectionHasNoMoreTimeForThat() throws Exception {
-        try (Server discovery = discoveryServer(); FullBacklogHost late = new FullBacklogHost();
-                GatewayNode node = node(discovery, SETTINGS, up("s1", late.address()))) {
+    void doesNotExtendDeadlineByWaitForConnection() throws Exception {
+        try (Server discovery = discoveryServer(); FullBacklogHost fullHost = new FullBacklogHost();
+                GatewayNode node = startNode(discovery, SETTINGS, inService("s1", fullHost.address()))) {
             Socket client = node.connect();
             write(client, post("start", 20_000, "x".repeat(120_000)));
-            until(() -> counted(node, Tally.Count.HOST_DIALS) == 1);
+            awaitCondition(() -> count(node, Tally.Count.HOST_DIALS) == 1);
             node.advanceClock(15_000);
-            assertEquals(120_000, Loopback.read(late.acceptConnections()).body().length);
-            assertTrue(owesNothingAfter(node, 7_000));
+            assertEquals(120_000, Loopback.read(fullHost.acceptConnections()).body().length);
+            assertTrue(isIdleAfter(node, 7_000));
             assertEquals(504, Loopback.read(client).status());
         }
     }
@@ -443,109 +443,109 @@
     /** Guards against a partial response that passes for a complete one at an HTTP/1.0 client, which takes the end of
         the connection for the end of the body. */
     @Test
-    void anAnswerThatBreaksIsResetWhereItsEndWouldBeItsLength() throws Exception {
-        CountDownLatch seen = new CountDownLatch(1);
+    void resetsIncompleteResponseToHttp10Client() throws Exception {
+        CountDownLatch clientReceived = new CountDownLatch(1);
         try (Server discovery = discoveryServer(); Server host = new Server(message -> {
             write(message.socket(), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n20000\r\n"
                     + "x".repeat(0x20000) + "\r\n");
-            seen.await();
+            clientReceived.await();
             message.socket().close();
-        }); GatewayNode node = node(discovery, SETTINGS, up("s1", host.address()))) {
+        }); GatewayNode node = startNode(discovery, SETTINGS, inService("s1", host.address()))) {
             Socket client = node.connect();
             write(client, read(20_000).replace("HTTP/1.1", "HTTP/1.0"));
-            readTo(client, "x".repeat(0x20000));
-            seen.countDown();
+            readUntil(client, "x".repeat(0x20000));
+            clientReceived.countDown();
             assertThrows(IOException.class, () -> client.getInputStream().read());
-            assertNothingIsOwed(node);
+            awaitIdle(node);
         }
     }
 
     /** Guards against a close with unread input, which resets the connection and may destroy the response: the client
         goes on sending after the last request on its connection. */
     @Test
-    void aLastAnswerIsFollowedByAnOrderlyEndThoughTheClientStillSends() throws Exception {
+    void doesNotResetClientThatSendsAfterItsLastResponse() throws Exception {
         try (Server discovery = discoveryServer(); Server host = new Server(message -> { });
-                GatewayNode node = node(discovery, SETTINGS, up("s1", host.address()))) {
+                GatewayNode node = startNode(discovery, SETTINGS, inService("s1", host.address()))) {
             Socket client = node.connect();
             write(client, read(20_000).replace("Host: s", "Host: s\r\nConnection: close"));
-            Message taken = await(host.received);
+            Message forwarded = await(host.received);
             for (int i = 0; i < 200; i++) {  // more than is read ahead
                 write(client, read(20_000).replace("9b1f", "more" + i));
             }
-            write(taken.socket(), response("200 OK", "last"));
+            write(forwarded.socket(), response("200 OK", "last"));
             assertEquals("last", Loopback.read(client).bodyText());
             assertEquals(-1, client.getInputStream().read());
             for (int i = 0; i < 20; i++) {  // after a reset, the next write would fail
                 write(client, "more");
                 Thread.sleep(5);
             }
-            assertNothingIsOwed(node);
-            assertEquals(1, counted(node, Tally.Count.TAKEN));
+            awaitIdle(node);
+            assertEquals(1, count(node, Tally.Count.TAKEN));
         }
     }
 
     /** Guards against handling a request that is read after the output was shut down: its client has seen the end. */
     @Test
-    void whatComesOnAConnectionThatWasShutIsNotTaken() throws Exception {
+    void doesNotHandleRequestAfterOutputShutdown() throws Exception {
         CountDownLatch stopped = new CountDownLatch(1);
         try (Server discovery = discoveryServer(); Server host = Loopback.hostResponding("one");
-                GatewayNode node = node(discovery, SETTINGS, up("s1", host.address()))) {
-            Socket resting = node.connect();
-            write(resting, read(20_000));
-            assertEquals("one", Loopback.read(resting).bodyText());
+                GatewayNode node = startNode(discovery, SETTINGS, inService("s1", host.address()))) {
+            Socket idle = node.connect();
+            write(idle, read(20_000));
+            assertEquals("one", Loopback.read(idle).bodyText());
             node.loop.execute(() -> node.server.stop(stopped::countDown));
-            assertEquals(-1, resting.getInputStream().read());
-            write(resting, read(20_000));
+            assertEquals(-1, idle.getInputStream().read());
+            write(idle, read(20_000));
             assertTrue(stopped.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS));
-            assertNothingIsOwed(node);
-            assertEquals(1, counted(node, Tally.Count.TAKEN));
+            awaitIdle(node);
+            assertEquals(1, count(node, Tally.Count.TAKEN));
             assertEquals(1, host.received.size());
         }
     }
 
     /** Guards against dropping pipelined requests that were read before a shutdown closes their connection. */
     @Test
-    void aStopAnswersWhatWasReadBehindTheRequestThatIsOut() throws Exception {
+    void shutdownAnswersPipelinedRequests() throws Exception {
         CountDownLatch stopped = new CountDownLatch(1);
         try (Server discovery = discoveryServer(); Server host = new Server(message -> { });
-                GatewayNode node = node(discovery, SETTINGS, up("s1", host.address()))) {
+                GatewayNode node = startNode(discovery, SETTINGS, inService("s1", host.address()))) {
             Socket client = node.connect();
             write(client, read(20_000) + read(20_000).replace("9b1f", "9b20"));
             Message first = await(host.received);
-            Socket resting = node.connect();
-            write(resting, "GET /ready HTTP/1.1\r\n\r\n");
-            assertEquals(200, Loopback.read(resting).status());
+            Socket idle = node.connect();
+            write(idle, "GET /ready HTTP/1.1\r\n\r\n");
+            assertEquals(200, Loopback.read(idle).status());
             node.loop.execute(() -> node.server.stop(stopped::countDown));
-            assertEquals(-1, resting.getInputStream().read());  // from now on, responses close their connections
+            assertEquals(-1, idle.getInputStream().read());  // from now on, responses close their connections
             write(first.socket(), response("200 OK", "first"));
             assertEquals("first", Loopback.read(client).bodyText());
             write(await(host.received).socket(), response("200 OK", "second"));
             assertEquals("second", Loopback.read(client).bodyText());
             assertEquals(-1, client.getInputStream().read());
             assertTrue(stopped.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS));
-            assertNothingIsOwed(node);
+            awaitIdle(node);
         }
     }
 
     /** Guards against a request that is still open when the process ends or is killed: its own deadline may be later
         than that. */
     @Test
-    void aStopAnswersWhatIsOpenBeforeTheKill() throws Exception {
+    void shutdownAnswersOpenRequestBeforeTheKill() throws Exception {
         CountDownLatch stopped = new CountDownLatch(1);
         try (Server discovery = discoveryServer(); Server host = new Server(message -> { });
-                GatewayNode node = node(discovery, SETTINGS, up("s1", host.address()))) {
+                GatewayNode node = startNode(discovery, SETTINGS, inService("s1", host.address()))) {
             Socket client = node.connect();
             write(client, read(60_000));
             await(host.received);
             node.loop.submit(() -> node.server.stop(stopped::countDown)).sync();  // the time starts once the shutdown has
-            assertTrue(owesNothingAfter(node, (int) (DownstreamServer.shutdownAnswerMicros(60_000_000) / 1000)));
+            assertTrue(isIdleAfter(node, (int) (DownstreamServer.shutdownAnswerMicros(60_000_000) / 1000)));
             assertEquals(504, Loopback.read(client).status());
             assertEquals(-1, client.getInputStream().read());
             assertTrue(stopped.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS));
         }
     }
 
-    private static long counted(GatewayNode node, Tally.Count count) {
+    private static long count(GatewayNode node, Tally.Count count) {
         return node.server.gateway().tally().sum(count);
     }
 }
