--- a/src/test/java/mastdrift/net/GatewayTest.java
+++ b/src/test/java/mastdrift/net/GatewayTest.java
@@ -46,8 +46,8 @@
     private final List<String> events = new CopyOnWriteArrayList<>();
     private Balancer.Actions actions;
 
-    private boolean present = true;
-    private int looks;
+    private boolean connected = true;
+    private int connectionChecks;
     private final Gateway.Client client = new Gateway.Client() {
         @Override
         public void sendResponse(FullHttpResponse answer) {
@@ -61,8 +61,8 @@
 
         @Override
         public boolean isConnected() {
-            looks++;
-            return present;
+            connectionChecks++;
+            return connected;
         }
 
         @Override
@@ -82,8 +82,8 @@
     }
 
     /** Submits one request, on which the balancer acts as given. */
-    private void take(long left, BiConsumer<Balancer.Actions, Long> onRequest) throws Exception {
-        Balancer module = (Balancer) Proxy.newProxyInstance(getClass().getClassLoader(),
+    private void submit(long timeLeft, BiConsumer<Balancer.Actions, Long> onRequest) throws Exception {
+        Balancer balancer = (Balancer) Proxy.newProxyInstance(getClass().getClassLoader(),
                 new Class<?>[] {Balancer.class}, (proxy, method, arguments) -> {
                     events.add(method.getName());
                     if (method.getName().equals("start")) {
@@ -96,9 +96,9 @@
                 });
         try (Server discovery = discoveryServer()) {
             Config config = Config.read(environment(folder, discovery, hostList(1, true), SETTINGS));
-            loop.submit(() -> new Gateway(config, loop, System::nanoTime, module, config.tally(), 8, 8, new PrintStream(log,
+            loop.submit(() -> new Gateway(config, loop, System::nanoTime, balancer, config.tally(), 8, 8, new PrintStream(log,
                     true, StandardCharsets.UTF_8)::println).submit(client, new DefaultFullHttpRequest(HttpVersion.HTTP_1_1,
-                    HttpMethod.GET, "/api"), null, "read", "acme", null, left, false, 0)).sync();
+                    HttpMethod.GET, "/api"), null, "read", "acme", null, timeLeft, false, 0)).sync();
         }
     }
 
@@ -106,14 +106,14 @@
         that still counts the request, which has failed. */
     @ParameterizedTest
     @ValueSource(strings = {"module", "memory", "message"})
-    void aFaultIsLoggedAndFailsItsRequest(String where) throws Exception {
-        take(60_000_000, (asked, id) -> {
-            if (where.equals("module")) {
+    void exceptionIsLoggedAndFailsItsRequest(String kind) throws Exception {
+        submit(60_000_000, (balancerActions, id) -> {
+            if (kind.equals("module")) {
                 throw new IllegalStateException("on purpose");
-            } else if (where.equals("memory")) {
+            } else if (kind.equals("memory")) {
                 throw new OutOfMemoryError("on purpose");
             }
-            asked.send(id + 1, "unheard", 1);
+            balancerActions.send(id + 1, "unheard", 1);
         });
         assertEquals("failed", Loopback.await(answers));
         assertEquals(List.of("start", "hostListReceived", "requestReceived", "clientLeft"), awaitEvents(4));
@@ -122,19 +122,19 @@
 
     /** Guards against a request without a response: the gateway fails it at its deadline and tells the balancer. */
     @Test
-    void aRequestThatTheModuleForgetsIsFailedInTime() throws Exception {
-        take(50_000, (asked, id) -> { });
+    void failsRequestThatTheBalancerNeverAnswers() throws Exception {
+        submit(50_000, (balancerActions, id) -> { });
         assertEquals("late", Loopback.await(answers));
         assertEquals(List.of("start", "hostListReceived", "requestReceived", "end of request", "clientLeft"), awaitEvents(5));
     }
 
     @Test
-    void aSecondAnswerIsPassedOverAndNothingIsSentAfterTheFirst() throws Exception {
-        take(60_000_000, (asked, id) -> {
-            asked.send(id, "unknown", 1_000_000);
-            asked.refuse(id, 0);
-            asked.fail(id);
-            asked.send(id, "unknown", 1_000_000);
+    void ignoresActionsAfterTheFinalResponse() throws Exception {
+        submit(60_000_000, (balancerActions, id) -> {
+            balancerActions.send(id, "unknown", 1_000_000);
+            balancerActions.refuse(id, 0);
+            balancerActions.fail(id);
+            balancerActions.send(id, "unknown", 1_000_000);
         });
         assertEquals("refused", Loopback.await(answers));
         awaitEvents(6);
@@ -144,10 +144,10 @@
     /** Guards against nested events: an outcome that is known at once is reported after the current event, one per
         send. */
     @Test
-    void outcomesWaitForTheEndOfTheEventThatCausedThem() throws Exception {
-        take(60_000_000, (asked, id) -> {
-            asked.send(id, "unknown", 1_000_000);
-            asked.send(id, "unknown", 1_000_000);
+    void doesNotNestEvents() throws Exception {
+        submit(60_000_000, (balancerActions, id) -> {
+            balancerActions.send(id, "unknown", 1_000_000);
+            balancerActions.send(id, "unknown", 1_000_000);
         });
         assertEquals(List.of("start", "hostListReceived", "requestReceived", "end of request", "attemptEnded", "attemptEnded"), awaitEvents(6));
     }
@@ -155,17 +155,17 @@
     /** Guards against an attempt for a client that disconnected while the loop was delayed, or whose disconnect comes
         after a host's event in the same turn of the loop. */
     @Test
-    void nothingIsSentForWhoHasGoneSinceTheLastLook() throws Exception {
-        present = false;
-        take(60_000_000, (asked, id) -> {
+    void doesNotSendForClientThatDisconnectedSinceTheLastCheck() throws Exception {
+        connected = false;
+        submit(60_000_000, (balancerActions, id) -> {
             long until = System.nanoTime() + TimeUnit.MICROSECONDS.toNanos(2 * Gateway.CLIENT_CHECK_INTERVAL_MICROS);
             while (System.nanoTime() < until) {
                 Thread.onSpinWait();
             }
-            asked.send(id, "unknown", 1_000_000);
+            balancerActions.send(id, "unknown", 1_000_000);
         });
         assertEquals(List.of("start", "hostListReceived", "requestReceived", "end of request", "clientLeft", "attemptEnded"), awaitEvents(6));
-        assertEquals(1, looks);
+        assertEquals(1, connectionChecks);
         assertNull(answers.peek());
     }
 
@@ -178,7 +178,7 @@
 
     /** Guards against a sweep that ends at its first exception: no timeouts would be enforced from then on. */
     @Test
-    void aFaultInAPeriodicTaskIsToldAndTheNextTurnComes() throws Exception {
+    void periodicTaskContinuesAfterAnException() throws Exception {
         BlockingQueue<String> faults = new LinkedBlockingQueue<>();
         CountDownLatch turns = new CountDownLatch(3);
         PeriodicTask.schedule(loop, 1_000, () -> {
@@ -191,7 +191,7 @@
 
     /** Guards against counts that are missing in the log, or are logged twice. */
     @Test
-    void theTallyTellsWhatWasCountedOnce() {
+    void logsEachCountOnce() {
         Tally tally = new Tally(List.of());
         tally.add(Tally.Count.TAKEN);
         tally.add(Tally.Count.TAKEN);
--- a/src/test/java/mastdrift/net/LongBodyTest.java
+++ b/src/test/java/mastdrift/net/LongBodyTest.java
@@ -53,12 +53,12 @@
 /** Bodies that are too long to be kept whole: they are streamed, in both directions, and can't be retried. */
 class LongBodyTest {
 
-    private static final int LONG = 3_000_000;
+    private static final int LONG_BODY_BYTES = 3_000_000;
 
     @TempDir
     private Path folder;
 
-    private GatewayNode node(Server discovery, Server... hosts) throws Exception {
+    private GatewayNode startNode(Server discovery, Server... hosts) throws Exception {
         List<String> entries = new ArrayList<>();
         for (Server host : hosts) {
             entries.add(hostEntry("s" + entries.size(), host.address(), "a", "in_service"));
@@ -76,15 +76,15 @@
         return post("start", 20_000, "").replaceFirst("Content-Length: 0", framing);
     }
 
-    private static void chunk(OutputStream out, byte[] bytes, int from, int length) throws IOException {
+    private static void writeChunk(OutputStream out, byte[] bytes, int from, int length) throws IOException {
         out.write((Integer.toHexString(length) + ";piece=\"x;y\"\r\n").getBytes(StandardCharsets.US_ASCII));
         out.write(bytes, from, length);
         out.write("\r\n".getBytes(StandardCharsets.US_ASCII));
     }
 
-    private static void chunks(OutputStream out, byte[] bytes, int size) throws IOException {
+    private static void writeChunks(OutputStream out, byte[] bytes, int size) throws IOException {
         for (int from = 0; from < bytes.length; from += size) {
-            chunk(out, bytes, from, Math.min(size, bytes.length - from));
+            writeChunk(out, bytes, from, Math.min(size, bytes.length - from));
         }
         out.write("0\r\nX-Trailer: 1\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
         out.flush();
@@ -92,23 +92,23 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"length", "chunks"})
-    void aLongRequestPassesUnchangedAndItsConnectionIsKept(String framing) throws Exception {
-        byte[] body = bytes(LONG);
-        try (Server discovery = discoveryServer(); Server host = hostResponding("taken"); GatewayNode node = node(discovery, host)) {
+    void streamsRequestUnchangedAndKeepsConnection(String framing) throws Exception {
+        byte[] body = bytes(LONG_BODY_BYTES);
+        try (Server discovery = discoveryServer(); Server host = hostResponding("taken"); GatewayNode node = startNode(discovery, host)) {
             Socket client = node.connect();
             for (int i = 0; i < 2; i++) {
                 if (framing.equals("length")) {
-                    write(client, head("Content-Length: " + LONG));
+                    write(client, head("Content-Length: " + LONG_BODY_BYTES));
                     client.getOutputStream().write(body);
                 } else {
                     write(client, head("Transfer-Encoding: chunked"));
-                    chunks(client.getOutputStream(), body, 70_001);
+                    writeChunks(client.getOutputStream(), body, 70_001);
                 }
                 assertEquals("taken", Loopback.read(client).bodyText());
-                Message got = await(host.received);
-                assertArrayEquals(body, got.body());
-                assertEquals("9b1f", got.header("X-Trace-Id"));
-                assertEquals("5c0f", got.header("Idempotency-Key"));
+                Message forwarded = await(host.received);
+                assertArrayEquals(body, forwarded.body());
+                assertEquals("9b1f", forwarded.header("X-Trace-Id"));
+                assertEquals("5c0f", forwarded.header("Idempotency-Key"));
             }
             assertEquals(1, host.acceptedConnections.size());
         }
@@ -116,18 +116,18 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"length", "chunks"})
-    void aLongAnswerPassesUnchangedAndConnectionsAreKept(String framing) throws Exception {
-        byte[] body = bytes(LONG);
+    void streamsResponseUnchangedAndKeepsConnections(String framing) throws Exception {
+        byte[] body = bytes(LONG_BODY_BYTES);
         try (Server discovery = discoveryServer(); Server host = new Server(message -> {
             boolean length = framing.equals("length");
             write(message.socket(), "HTTP/1.1 200 OK\r\nContent-Type: image/png\r\n"
-                    + (length ? "Content-Length: " + LONG : "Transfer-Encoding: chunked") + "\r\n\r\n");
+                    + (length ? "Content-Length: " + LONG_BODY_BYTES : "Transfer-Encoding: chunked") + "\r\n\r\n");
             if (length) {
                 message.socket().getOutputStream().write(body);
             } else {
-                chunks(message.socket().getOutputStream(), body, 999);
+                writeChunks(message.socket().getOutputStream(), body, 999);
             }
-        }); GatewayNode node = node(discovery, host)) {
+        }); GatewayNode node = startNode(discovery, host)) {
             Socket client = node.connect();
             for (int i = 0; i < 2; i++) {
                 write(client, read(20_000));
@@ -144,16 +144,16 @@
         unknown. */
     @ParameterizedTest
     @ValueSource(strings = {"Content-Length: 70000", "Transfer-Encoding: chunked"})
-    void anAnswerThatMayBeLongIsPassedOnBeforeItsEnd(String framing) throws Exception {
-        CountDownLatch seen = new CountDownLatch(1);
+    void streamsLongResponseBeforeItsEnd(String framing) throws Exception {
+        CountDownLatch clientReceived = new CountDownLatch(1);
         boolean chunked = framing.contains("chunked");
         try (Server discovery = discoveryServer(); Server host = new Server(message -> {
             write(message.socket(), "HTTP/1.1 200 OK\r\n" + framing + "\r\n\r\n" + (chunked ? "1\r\nx\r\n" : "x"));
-            while (!seen.await(20, TimeUnit.MILLISECONDS)) {
+            while (!clientReceived.await(20, TimeUnit.MILLISECONDS)) {
                 write(message.socket(), chunked ? "1\r\nx\r\n" : "");
             }
             write(message.socket(), chunked ? "1\r\ny\r\n0\r\n\r\n" : "y".repeat(69_999));
-        }); GatewayNode node = node(discovery, host)) {
+        }); GatewayNode node = startNode(discovery, host)) {
             Socket client = node.connect();
             write(client, read(1_000_000));
             StringBuilder head = new StringBuilder();
@@ -163,7 +163,7 @@
                 head.append((char) next);
             }
             assertTrue(head.toString().startsWith("HTTP/1.1 200 OK"), head.toString());
-            seen.countDown();
+            clientReceived.countDown();
             StringBuilder rest = new StringBuilder();
             while (!rest.toString().endsWith(chunked ? "0\r\n\r\n" : "y".repeat(9)) || !chunked && rest.length() < 69_999) {
                 int next = client.getInputStream().read();
@@ -176,11 +176,11 @@
     /** Guards against rejecting a valid form of HTTP/1.1: a response that ends with its connection, and says so. */
     @ParameterizedTest
     @ValueSource(ints = {5, 200_000})
-    void anAnswerMayLastToTheEndOfItsConnection(int length) throws Exception {
+    void acceptsResponseThatEndsWithItsConnection(int length) throws Exception {
         try (Server discovery = discoveryServer(); Server host = new Server(message -> {
             write(message.socket(), "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + "x".repeat(length));
             message.socket().close();
-        }); GatewayNode node = node(discovery, host)) {
+        }); GatewayNode node = startNode(discovery, host)) {
             Socket client = node.connect();
             for (int i = 0; i < 2; i++) {
                 write(client, read(20_000));
@@ -192,18 +192,18 @@
     /** Guards against a partial response that passes for a complete one where only the connection's end marks the end:
         a reset does not. */
     @Test
-    void anAnswerToTheEndOfItsConnectionThatIsResetIsNoWhole() throws Exception {
-        CountDownLatch begun = new CountDownLatch(1);
+    void resetDoesNotCompleteResponseThatEndsWithItsConnection() throws Exception {
+        CountDownLatch clientReceived = new CountDownLatch(1);
         try (Server discovery = discoveryServer(); Server host = new Server(message -> {
             write(message.socket(), "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + "x".repeat(100_000));
-            begun.await();
+            clientReceived.await();
             message.socket().setSoLinger(true, 0);
             message.socket().close();
-        }); GatewayNode node = node(discovery, host)) {
+        }); GatewayNode node = startNode(discovery, host)) {
             Socket client = node.connect();
             write(client, read(20_000));
             assertEquals(1000, client.getInputStream().readNBytes(1000).length);
-            begun.countDown();
+            clientReceived.countDown();
             String rest = new String(client.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
             assertFalse(rest.endsWith("\r\n0\r\n\r\n"));
         }
@@ -211,11 +211,11 @@
 
     /** Guards against a partial response that passes for a complete one. */
     @Test
-    void anAnswerThatBreaksOnItsWayEndsTheClientsConnection() throws Exception {
+    void closesClientConnectionOnIncompleteResponse() throws Exception {
         try (Server discovery = discoveryServer(); Server host = new Server(message -> {
             write(message.socket(), "HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n" + "x".repeat(80_000));
             message.socket().close();
-        }); GatewayNode node = node(discovery, host)) {
+        }); GatewayNode node = startNode(discovery, host)) {
             Socket client = node.connect();
             write(client, read(20_000));
             assertNull(Loopback.read(client));
@@ -226,14 +226,14 @@
     /** Guards against a retry with a part of the body: a streamed request is not kept, though its class allows retries.
         */
     @Test
-    void aLongRequestThatMayHaveRunIsNotSentAgain() throws Exception {
+    void doesNotRetryStreamedRequest() throws Exception {
         AtomicInteger count = new AtomicInteger();
         Loopback.MessageHandler breaks = message -> {
             count.incrementAndGet();
             message.socket().close();
         };
         try (Server discovery = discoveryServer(); Server one = new Server(breaks); Server two = new Server(breaks);
-                GatewayNode node = node(discovery, one, two)) {
+                GatewayNode node = startNode(discovery, one, two)) {
             assertEquals(502, node.sendRequest(head("Content-Length: 100000") + "x".repeat(100_000)).status());
             assertEquals(1, count.get());
             assertEquals(502, node.sendRequest(post("start", 20_000, "short")).status());
@@ -243,10 +243,10 @@
 
     /** A host that can't be connected to has received nothing of the body yet. */
     @Test
-    void aLongRequestGoesOnToAnotherHostWhereNoConnectionComesUp() throws Exception {
+    void sendsLongRequestToAnotherHostAfterFailedConnection() throws Exception {
         Server closed = hostResponding("");
         closed.close();
-        try (Server discovery = discoveryServer(); Server host = hostResponding("ok"); GatewayNode node = node(discovery, closed, closed, host)) {
+        try (Server discovery = discoveryServer(); Server host = hostResponding("ok"); GatewayNode node = startNode(discovery, closed, closed, host)) {
             for (int i = 0; i < 6; i++) {
                 Message answer = node.sendRequest(head("Content-Length: 100000").replace("7f3a", "key" + i) + "x".repeat(100_000));
                 assertEquals("ok", answer.bodyText());
@@ -256,11 +256,11 @@
 
     /** Guards against a malformed request that a host runs. */
     @Test
-    void aLongRequestThatTurnsOutBadNeverRuns() throws Exception {
-        try (Server discovery = discoveryServer(); Server host = hostResponding("ran"); GatewayNode node = node(discovery, host)) {
+    void doesNotRunMalformedLongRequest() throws Exception {
+        try (Server discovery = discoveryServer(); Server host = hostResponding("ran"); GatewayNode node = startNode(discovery, host)) {
             Socket client = node.connect();
             write(client, head("Transfer-Encoding: chunked"));
-            chunk(client.getOutputStream(), bytes(100_000), 0, 100_000);
+            writeChunk(client.getOutputStream(), bytes(100_000), 0, 100_000);
             write(client, "zz\r\n");
             assertNull(Loopback.read(client));
             assertNotNull(await(host.closedConnections));
@@ -269,10 +269,10 @@
     }
 
     @Test
-    void aClientThatLeavesInTheMiddleEndsTheAttempt() throws Exception {
+    void closesAttemptWhenClientDisconnectsDuringResponse() throws Exception {
         try (Server discovery = discoveryServer(); Server host = new Server(message -> {
             write(message.socket(), "HTTP/1.1 200 OK\r\nContent-Length: 30000000\r\n\r\n" + "x".repeat(100_000));
-        }); GatewayNode node = node(discovery, host)) {
+        }); GatewayNode node = startNode(discovery, host)) {
             Socket client = node.connect();
             write(client, read(20_000));
             assertEquals(100, client.getInputStream().readNBytes(100).length);
@@ -283,8 +283,8 @@
 
     /** Guards against a response that gets lost while the client still sends: the rest is read before the close. */
     @Test
-    void anAnswerAheadOfTheBodysEndArrives() throws Exception {
-        try (Server discovery = discoveryServer(); GatewayNode node = node(discovery)) {
+    void deliversResponseSentBeforeTheEndOfTheBody() throws Exception {
+        try (Server discovery = discoveryServer(); GatewayNode node = startNode(discovery)) {
             Socket client = node.connect();
             write(client, head("Content-Length: 1000000"));
             Message answer = Loopback.read(client);
@@ -297,8 +297,8 @@
 
     @ParameterizedTest
     @ValueSource(ints = {10, 200_000})
-    void aClientThatWaitsToBeAskedIsAsked(int length) throws Exception {
-        try (Server discovery = discoveryServer(); Server host = hostResponding("ok"); GatewayNode node = node(discovery, host)) {
+    void sendsContinueInTurn(int length) throws Exception {
+        try (Server discovery = discoveryServer(); Server host = hostResponding("ok"); GatewayNode node = startNode(discovery, host)) {
             Socket client = node.connect();
             write(client, read(20_000) + head("Content-Length: " + length + "\r\nExpect: 100-continue").replace("9b1f", "2"));
             assertEquals(200, Loopback.read(client).status());
@@ -311,8 +311,8 @@
 
     /** Guards against a limit on the whole request that slow but permitted clients can't keep. */
     @Test
-    void aBodyMayTakeItsTimeAsLongAsItComes() throws Exception {
-        try (Server discovery = discoveryServer(); Server host = hostResponding("ok"); GatewayNode node = node(discovery, host)) {
+    void acceptsSlowBodyThatMakesProgress() throws Exception {
+        try (Server discovery = discoveryServer(); Server host = hostResponding("ok"); GatewayNode node = startNode(discovery, host)) {
             Socket client = node.connect();
             write(client, head("Content-Length: 600000"));
             for (int i = 0; i < 60; i++) {
@@ -323,14 +323,14 @@
         }
     }
 
-    private static ByteBuf piece(int length) {
+    private static ByteBuf buffer(int length) {
         return Unpooled.wrappedBuffer(new byte[length]);
     }
 
     /** Guards against memory that grows with a body: a full relay reports it, and resumes once its channel is writable.
         */
     @Test
-    void aRelayAsksForAPauseWhileItsChannelTakesNothing() {
+    void relayReportsFullWhileChannelIsNotWritable() {
         EmbeddedChannel channel = new EmbeddedChannel();
         BodyRelay relay = new BodyRelay();
         List<Boolean> full = new ArrayList<>();
@@ -339,7 +339,7 @@
         channel.unsafe().outboundBuffer().setUserDefinedWritability(1, false);
         relay.writeTo(channel, done::add);
         for (int i = 0; i < 3; i++) {
-            relay.add(piece(20_000));
+            relay.add(buffer(20_000));
         }
         assertEquals(List.of(true, true), full);
         assertTrue(relay.hasUnwrittenData());
@@ -358,7 +358,7 @@
 
     /** Guards against a last chunk written in the midst of the chunk before it, whose write fills the channel. */
     @Test
-    void aRelaysEndComesBehindTheChunkThatFillsItsChannel() {
+    void relayWritesLastChunkAfterTheChunkThatFillsTheChannel() {
         BodyRelay relay = new BodyRelay();
         EmbeddedChannel channel = new EmbeddedChannel(new HttpResponseEncoder(), new ChannelInboundHandlerAdapter() {
             @Override
@@ -386,9 +386,9 @@
     /** Guards against leaked buffers where reading fails before there is a target channel, as with a client that
         disconnects while its request waits. */
     @Test
-    void aRelayThatFailsBeforeAnyoneWritesDropsWhatItHolds() {
+    void relayReleasesBuffersIfItFailsBeforeWriting() {
         BodyRelay relay = new BodyRelay();
-        ByteBuf held = piece(10);
+        ByteBuf held = buffer(10);
         relay.add(held);
         relay.fail();
         assertEquals(0, held.refCnt());
@@ -399,10 +399,10 @@
 
     /** Guards against buffers that are never released. */
     @Test
-    void anAbandonedRelayDropsWhatItHoldsAndWhatComes() {
+    void abandonedRelayReleasesItsBuffers() {
         BodyRelay relay = new BodyRelay();
-        ByteBuf held = piece(40_000);
-        ByteBuf late = piece(1);
+        ByteBuf held = buffer(40_000);
+        ByteBuf late = buffer(1);
         relay.add(held);
         relay.abandon();
         relay.add(late);
--- a/src/test/java/mastdrift/net/Loopback.java
+++ b/src/test/java/mastdrift/net/Loopback.java
@@ -68,7 +68,7 @@
             }
             Message message = new Message(head.toString(StandardCharsets.UTF_8), new byte[0], socket);
             if ("chunked".equals(message.header("Transfer-Encoding"))) {
-                return new Message(message.head, chunks(in), socket);
+                return new Message(message.head, readChunks(in), socket);
             }
             String length = message.header("Content-Length");
             byte[] body = length == null ? message.body : in.readNBytes(Integer.parseInt(length));
@@ -78,20 +78,20 @@
         }
     }
 
-    private static byte[] chunks(InputStream in) throws IOException {
+    private static byte[] readChunks(InputStream in) throws IOException {
         ByteArrayOutputStream body = new ByteArrayOutputStream();
         while (true) {
-            int length = Integer.parseInt(line(in).split(";")[0].strip(), 16);
+            int length = Integer.parseInt(readLine(in).split(";")[0].strip(), 16);
             body.write(in.readNBytes(length));
             if (length > 0) {
-                line(in);
-            } else if (line(in).isEmpty()) {  // no trailers
+                readLine(in);
+            } else if (readLine(in).isEmpty()) {  // no trailers
                 return body.toByteArray();
             }
         }
     }
 
-    private static String line(InputStream in) throws IOException {
+    private static String readLine(InputStream in) throws IOException {
         StringBuilder line = new StringBuilder();
         for (int next = in.read(); next != '\n'; next = in.read()) {
             if (next < 0) {
@@ -131,13 +131,13 @@
         final BlockingQueue<Socket> closedConnections = new LinkedBlockingQueue<>();
         final List<Socket> acceptedConnections = new CopyOnWriteArrayList<>();
         private final ServerSocket socket;
-        private final MessageHandler script;
-        private final Thread accepting;
+        private final MessageHandler handler;
+        private final Thread acceptThread;
 
-        Server(MessageHandler script) throws IOException {
-            this.script = script;
+        Server(MessageHandler handler) throws IOException {
+            this.handler = handler;
             socket = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
-            accepting = run(() -> {
+            acceptThread = run(() -> {
                 while (true) {
                     Socket connection = socket.accept();
                     acceptedConnections.add(connection);
@@ -150,7 +150,7 @@
             for (Message next = read(connection); next != null; next = read(connection)) {
                 synchronized (connection) {  // what a test sends once it sees a request follows the handler's response
                     received.add(next);
-                    script.handle(next);
+                    handler.handle(next);
                 }
             }
             closedConnections.add(connection);
@@ -181,7 +181,7 @@
         public void close() throws IOException {
             socket.close();
             try {
-                accepting.join();  // the last connection is in the list, and no more are accepted
+                acceptThread.join();  // the last connection is in the list, and no more are accepted
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
@@ -195,26 +195,26 @@
         repeats a connection attempt that found the queue full after a second. */
     static final class FullBacklogHost implements AutoCloseable {
 
-        private static final int FULL_MILLIS = 500;  // far above the time that a connection on this machine takes
+        private static final int CONNECT_TIMEOUT_MILLIS = 500;  // far above the time that a connection on this machine takes
         private final ServerSocket socket;
-        private final List<Socket> queued = new ArrayList<>();
-        private final Set<Integer> own = new HashSet<>();  // the ports of this class's own connection attempts
+        private final List<Socket> queuedConnections = new ArrayList<>();
+        private final Set<Integer> ownPorts = new HashSet<>();  // the ports of this class's own connection attempts
 
         FullBacklogHost() throws IOException {
             socket = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"));
             socket.setSoTimeout(WAIT_SECONDS * 1000);
-            while (queues()) {
-                assert queued.size() < 64 : "the accept queue does not fill up";
+            while (fillQueue()) {
+                assert queuedConnections.size() < 64 : "the accept queue does not fill up";
             }
         }
 
-        private boolean queues() throws IOException {
+        private boolean fillQueue() throws IOException {
             Socket next = new Socket();
             next.bind(new InetSocketAddress(socket.getInetAddress(), 0));
-            own.add(next.getLocalPort());
+            ownPorts.add(next.getLocalPort());
             try {
-                next.connect(socket.getLocalSocketAddress(), FULL_MILLIS);
-                return queued.add(next);
+                next.connect(socket.getLocalSocketAddress(), CONNECT_TIMEOUT_MILLIS);
+                return queuedConnections.add(next);
             } catch (SocketTimeoutException e) {
                 next.close();
                 return false;
@@ -228,7 +228,7 @@
         /** Accepts connections, and returns the first that is not this class's own. */
         Socket acceptConnections() throws IOException {
             Socket first = socket.accept();
-            while (own.contains(first.getPort())) {
+            while (ownPorts.contains(first.getPort())) {
                 first.close();
                 first = socket.accept();
             }
@@ -238,7 +238,7 @@
 
         @Override
         public void close() throws IOException {
-            for (Socket next : queued) {
+            for (Socket next : queuedConnections) {
                 next.close();
             }
             socket.close();
@@ -255,8 +255,8 @@
                 + "\"pod_group\":1,\"state\":\"" + state + "\",\"capacity_hint\":1.0,\"boot_ms\":0}";
     }
 
-    static String hostList(int rev, boolean all, String... entries) {
-        return "{\"rev\":" + rev + ",\"all\":" + all + ",\"targets\":[" + String.join(",", entries) + "]}";
+    static String hostList(int rev, boolean complete, String... entries) {
+        return "{\"rev\":" + rev + ",\"all\":" + complete + ",\"targets\":[" + String.join(",", entries) + "]}";
     }
 
     /** A discovery server that keeps every watch open until the test closes it. */
@@ -275,22 +275,22 @@
     static final String SETTINGS = "{\"allowed\":{\"cancel\":true,\"conn_idle\":5000000,\"dial_timeout\":20000000,"
             + "\"max_attempts\":4,\"max_open\":20000,\"max_retry_after\":2000000,\"parallel_tries\":true,"
             + "\"probes\":false,\"retry_after\":false},\"balancers\":1,\"classes\":["
-            + type("read", "read_like") + "," + type("start", "idempotency_key") + "," + type("once", "non_idempotent")
+            + classJson("read", "read_like") + "," + classJson("start", "idempotency_key") + "," + classJson("once", "non_idempotent")
             + "],\"dcs\":[\"a\",\"b\"],\"guarantees\":{\"cold_from\":0.13,\"drain_grace\":250000,\"fall\":2000000,"
             + "\"must_ask_in\":1000000,\"tip_multiple\":3.0,\"warm_within\":24000000},\"locality\":\"a\",\"me\":0,"
             + "\"registry_mode\":\"on_request\",\"tenants\":[{\"name\":\"acme\",\"fraction\":1.0,"
             + "\"quota_per_s\":1000.0}],\"weights\":\"nominal\"}";
 
-    private static String type(String name, String repeat) {
+    private static String classJson(String name, String idempotency) {
         return "{\"name\":\"" + name + "\",\"target\":10000000,\"deadline\":60000000,\"credit\":1.0,"
-                + "\"late_share\":0.5,\"repeat\":\"" + repeat + "\",\"group\":\"zone\",\"dedup_window\":60000000}";
+                + "\"late_share\":0.5,\"repeat\":\"" + idempotency + "\",\"group\":\"zone\",\"dedup_window\":60000000}";
     }
 
-    static Map<String, String> environment(Path folder, Server discovery, String known, String settings)
+    static Map<String, String> environment(Path folder, Server discovery, String knownList, String settings)
             throws IOException {
         Path file = folder.resolve("config.json");
         Files.writeString(file, "{\"name\":\"n0\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"sockets\":64},"
-                + "\"known\":" + known + ",\"settings\":" + settings + "}");
+                + "\"known\":" + knownList + ",\"settings\":" + settings + "}");
         return Map.of("NODE_CONFIG", file.toString(), "NODE_LISTEN", "127.0.0.1:0",
                 "NODE_DISCOVERY", discovery.address());
     }
@@ -305,26 +305,26 @@
         final ByteArrayOutputStream log = new ByteArrayOutputStream();
         final DownstreamServer server;
         private final List<Socket> sockets = new ArrayList<>();
-        private final AtomicLong ahead = new AtomicLong();
+        private final AtomicLong clockAdvance = new AtomicLong();
 
         GatewayNode(Map<String, String> environment) {
             this(environment, null);
         }
 
         /** On a listening socket that is inherited; listens itself if it is null. */
-        GatewayNode(Map<String, String> environment, ServerSocketChannel passed) {
+        GatewayNode(Map<String, String> environment, ServerSocketChannel inherited) {
             Config config = Config.read(environment);
             Tally tally = config.tally();
             admin = config.admin() == null ? null : Admin.open(config.admin(), adminLoop, life, tally);
             PrintStream out = new PrintStream(log, true, StandardCharsets.UTF_8);
-            server = Main.createServer(config, loop, () -> System.nanoTime() + ahead.get(), life, tally, out::println);
+            server = Main.createServer(config, loop, () -> System.nanoTime() + clockAdvance.get(), life, tally, out::println);
             Main.awaitFirstList(server.gateway(), TimeUnit.SECONDS.toMillis(WAIT_SECONDS));
-            Main.listen(server, config, passed, loop, life, out::println);
+            Main.listen(server, config, inherited, loop, life, out::println);
         }
 
         /** Advances the gateway's clock; timers that are set already are not affected. */
         void advanceClock(int millis) {
-            ahead.addAndGet(TimeUnit.MILLISECONDS.toNanos(millis));
+            clockAdvance.addAndGet(TimeUnit.MILLISECONDS.toNanos(millis));
         }
 
         Socket connect() throws IOException {
@@ -372,10 +372,10 @@
     }
 
     /** A POST request of that class with that time limit. */
-    static String post(String type, int millis, String body) {
-        return "POST /api/x?y=1%20z HTTP/1.1\r\nHost: s\r\nX-Trace-Id: 9b1f\r\nX-Qos: " + type
+    static String post(String className, int millis, String body) {
+        return "POST /api/x?y=1%20z HTTP/1.1\r\nHost: s\r\nX-Trace-Id: 9b1f\r\nX-Qos: " + className
                 + "\r\nX-Customer: acme\r\nX-Object: 7f3a\r\nX-Expires-In-Ms: " + millis + "\r\n"
-                + (type.equals("start") ? "Idempotency-Key: 5c0f\r\n" : "")
+                + (className.equals("start") ? "Idempotency-Key: 5c0f\r\n" : "")
                 + "Content-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
--- a/src/test/java/mastdrift/net/ReadAheadHandlerTest.java
+++ b/src/test/java/mastdrift/net/ReadAheadHandlerTest.java
@@ -13,7 +13,7 @@
 /** When input that was read in a turn of the event loop is delivered. */
 class ReadAheadHandlerTest {
 
-    private static final int READS_OF_A_TURN = 16;
+    private static final int MAX_TURN_READS = 16;
 
     private final EmbeddedChannel channel = new EmbeddedChannel(new ReadAheadHandler(new ReadAheadHandler.MemoryBudget(1 << 20), () -> true,
             () -> 0));
@@ -26,7 +26,7 @@
         channel.writeInbound(all);
     }
 
-    private int passedOn() {
+    private int deliveredBytes() {
         int bytes = 0;
         for (ByteBuf next = channel.readInbound(); next != null; next = channel.readInbound()) {
             bytes += next.readableBytes();
@@ -36,38 +36,38 @@
     }
 
     @Test
-    void aTurnThatReadAllIsPassedOnBehindItsEvents() {
+    void deliversAfterTheEventsOfATurnThatReadAll() {
         channel.freezeTime();
-        read(READS_OF_A_TURN - 1);
-        assertEquals(READS_OF_A_TURN - 1, passedOn());
+        read(MAX_TURN_READS - 1);
+        assertEquals(MAX_TURN_READS - 1, deliveredBytes());
     }
 
     /** Reads of one byte reach the limit of a turn; the client's disconnect may be found in the next. */
     @Test
-    void aTurnThatMayHaveLeftSomethingWaitsForTheNext() {
+    void waitsForTheNextTurnAtTheReadLimit() {
         channel.freezeTime();
-        read(READS_OF_A_TURN);
+        read(MAX_TURN_READS);
         assertNull(channel.readInbound());
         read(3);
-        assertEquals(READS_OF_A_TURN + 3, passedOn());
+        assertEquals(MAX_TURN_READS + 3, deliveredBytes());
     }
 
     @Test
-    void whoLeftWithinTheNextTurnIsNotPassedOn() {
+    void doesNotDeliverInputOfClientThatDisconnectsInTheNextTurn() {
         channel.freezeTime();
-        read(READS_OF_A_TURN);
+        read(MAX_TURN_READS);
         channel.close();
         channel.runPendingTasks();
         assertNull(channel.readInbound());
     }
 
     @Test
-    void whereNothingFollowsItIsPassedOnSoon() {
+    void deliversSoonIfNoInputFollows() {
         channel.freezeTime();
-        read(READS_OF_A_TURN);
+        read(MAX_TURN_READS);
         channel.advanceTimeBy(1, TimeUnit.MILLISECONDS);
         channel.runScheduledPendingTasks();
         channel.runPendingTasks();
-        assertEquals(READS_OF_A_TURN, passedOn());
+        assertEquals(MAX_TURN_READS, deliveredBytes());
     }
 }
--- a/src/test/java/mastdrift/net/ServingTest.java
+++ b/src/test/java/mastdrift/net/ServingTest.java
@@ -38,35 +38,35 @@
     @TempDir
     private Path folder;
 
-    private GatewayNode node(Server discovery, String... entries) throws Exception {
+    private GatewayNode startNode(Server discovery, String... entries) throws Exception {
         return new GatewayNode(environment(folder, discovery, hostList(1, true, entries), SETTINGS));
     }
 
-    private static String up(String uid, Server host) {
+    private static String inService(String uid, Server host) {
         return hostEntry(uid, host.address(), "a", "in_service");
     }
 
     @Test
-    void aRequestAndItsAnswerPassUnchanged() throws Exception {
+    void forwardsRequestAndResponseUnchanged() throws Exception {
         try (Server discovery = discoveryServer(); Server host = hostResponding("{\"answer\":1}");
-                GatewayNode node = node(discovery, up("s1", host))) {
+                GatewayNode node = startNode(discovery, inService("s1", host))) {
             Message answer = node.sendRequest(post("start", 20_000, "{\"b\": 2}"));
-            Message got = await(host.received);
+            Message forwarded = await(host.received);
             assertEquals(200, answer.status());
             assertEquals("{\"answer\":1}", answer.bodyText());
-            assertEquals("POST /api/x?y=1%20z HTTP/1.1", got.startLine());
-            assertEquals("{\"b\": 2}", got.bodyText());
-            assertEquals("9b1f", got.header("X-Trace-Id"));
-            assertEquals("5c0f", got.header("Idempotency-Key"));
-            int left = Integer.parseInt(got.header("X-Expires-In-Ms"));
-            assertTrue(left > 0 && left < 20_000, got.head());
+            assertEquals("POST /api/x?y=1%20z HTTP/1.1", forwarded.startLine());
+            assertEquals("{\"b\": 2}", forwarded.bodyText());
+            assertEquals("9b1f", forwarded.header("X-Trace-Id"));
+            assertEquals("5c0f", forwarded.header("Idempotency-Key"));
+            int left = Integer.parseInt(forwarded.header("X-Expires-In-Ms"));
+            assertTrue(left > 0 && left < 20_000, forwarded.head());
         }
     }
 
     /** HTTP/1.1 allows the absolute form for the target of any request; hosts are sent the origin form. */
     @Test
-    void aWholeAddressForATargetIsServed() throws Exception {
-        try (Server discovery = discoveryServer(); Server host = hostResponding("ok"); GatewayNode node = node(discovery, up("s1", host))) {
+    void acceptsTargetInAbsoluteForm() throws Exception {
+        try (Server discovery = discoveryServer(); Server host = hostResponding("ok"); GatewayNode node = startNode(discovery, inService("s1", host))) {
             assertEquals(200, node.sendRequest(post("once", 20_000, "x").replace("/api/x", "HTTP://s:80/api/x")).status());
             assertEquals("POST /api/x?y=1%20z HTTP/1.1", await(host.received).startLine());
             assertEquals(200, node.sendRequest("GET http://s/ready HTTP/1.1\r\nHost: s\r\n\r\n").status());
@@ -74,15 +74,15 @@
     }
 
     /** Acts as {@code what} says on the first request that reaches any of the hosts, and serves the others. */
-    private static MessageHandler first(AtomicInteger count, String what) {
+    private static MessageHandler failingFirst(AtomicInteger requestCount, String firstReaction) {
         return message -> {
-            if (count.getAndIncrement() > 0) {
+            if (requestCount.getAndIncrement() > 0) {
                 write(message.socket(), response("200 OK", "late"));
-            } else if (what.equals("break")) {
+            } else if (firstReaction.equals("break")) {
                 message.socket().close();
             } else {
-                write(message.socket(), what.replace("~", "\r\n"));
-                if (what.contains("Length: 9")) {
+                write(message.socket(), firstReaction.replace("~", "\r\n"));
+                if (firstReaction.contains("Length: 9")) {
                     message.socket().close();
                 }
             }
@@ -93,10 +93,10 @@
     @ParameterizedTest
     @ValueSource(strings = {"HTTP/1.1 503 No~X-Never-Ran: 1~Content-Length: 0~~",
         "HTTP/1.1 504 No~X-Never-Ran: 1~Content-Length: 0~~"})
-    void whatNeverRanIsSentAgain(String what) throws Exception {
+    void retriesRequestThatHostDidNotStart(String firstReaction) throws Exception {
         AtomicInteger count = new AtomicInteger();
-        try (Server discovery = discoveryServer(); Server one = new Server(first(count, what));
-                Server two = new Server(first(count, what)); GatewayNode node = node(discovery, up("s1", one), up("s2", two))) {
+        try (Server discovery = discoveryServer(); Server one = new Server(failingFirst(count, firstReaction));
+                Server two = new Server(failingFirst(count, firstReaction)); GatewayNode node = startNode(discovery, inService("s1", one), inService("s2", two))) {
             assertEquals("late", node.sendRequest(post("once", 20_000, "x")).bodyText());
             assertEquals(2, count.get());
         }
@@ -105,11 +105,11 @@
     /** Whichever host the key selects first, it is the closed one in one of the two cases. */
     @ParameterizedTest
     @CsvSource({"s1, s2", "s2, s1"})
-    void aRefusedConnectionNeverRan(String down, String up) throws Exception {
+    void retriesAfterRefusedConnection(String down, String up) throws Exception {
         Server closed = hostResponding("");
         closed.close();
         try (Server discovery = discoveryServer(); Server host = hostResponding("ok");
-                GatewayNode node = node(discovery, up(down, closed), up(up, host))) {
+                GatewayNode node = startNode(discovery, inService(down, closed), inService(up, host))) {
             assertEquals(200, node.sendRequest(post("once", 20_000, "x")).status());
         }
     }
@@ -119,10 +119,10 @@
     @ValueSource(strings = {"break", "HTTP/1.1 500 Oh~Content-Length: 0~~", "HTTP/1.1 503 Oh~Content-Length: 0~~",
         "HTTP/1.1 404 Oh~Content-Length: 0~~", "HTTP/1.1 503 Oh~X-Never-Ran: 0~Content-Length: 0~~", "nonsense~~",
         "HTTP/1.1 200 OK~Content-Length: 9~~part", "HTTP/1.1 200 OK~Content-Length: 99999~~"})
-    void whatMayHaveRunIsNotSentAgain(String what) throws Exception {
+    void doesNotRetryRequestThatMayHaveRun(String firstReaction) throws Exception {
         AtomicInteger count = new AtomicInteger();
-        try (Server discovery = discoveryServer(); Server one = new Server(first(count, what));
-                Server two = new Server(first(count, what)); GatewayNode node = node(discovery, up("s1", one), up("s2", two))) {
+        try (Server discovery = discoveryServer(); Server one = new Server(failingFirst(count, firstReaction));
+                Server two = new Server(failingFirst(count, firstReaction)); GatewayNode node = startNode(discovery, inService("s1", one), inService("s2", two))) {
             assertEquals(502, node.sendRequest(post("once", 20_000, "x")).status());
             assertEquals(1, count.get());
         }
@@ -131,11 +131,11 @@
     /** A keyed request that may have run is retried only within the zone that detects duplicates. */
     @ParameterizedTest
     @CsvSource({"a, a, 200, 2", "a, b, 502, 1"})
-    void aKeyedRequestIsSentAgainWithinItsGroupOnly(String zone, String other, int status, int sends) throws Exception {
+    void retriesKeyedRequestWithinItsDedupScopeOnly(String zone, String other, int status, int sends) throws Exception {
         AtomicInteger count = new AtomicInteger();
-        MessageHandler script = first(count, "break");
+        MessageHandler script = failingFirst(count, "break");
         try (Server discovery = discoveryServer(); Server one = new Server(script); Server two = new Server(script);
-                GatewayNode node = node(discovery, hostEntry("s1", one.address(), zone, "in_service"),
+                GatewayNode node = startNode(discovery, hostEntry("s1", one.address(), zone, "in_service"),
                         hostEntry("s2", two.address(), other, "in_service"))) {
             assertEquals(status, node.sendRequest(post("start", 20_000, "x")).status());
             assertEquals(sends, count.get());
@@ -146,8 +146,8 @@
     }
 
     @Test
-    void withNoHostARequestIsRefusedAtOnceAndToldWhenToComeBack() throws Exception {
-        try (Server discovery = discoveryServer(); GatewayNode node = node(discovery)) {
+    void refusesWithRetryAfterIfThereIsNoHost() throws Exception {
+        try (Server discovery = discoveryServer(); GatewayNode node = startNode(discovery)) {
             Message answer = node.sendRequest(read(20_000));
             assertEquals(503, answer.status());
             assertEquals("1", answer.header("Retry-After"));
@@ -157,9 +157,9 @@
     /** Guards against a request that outlasts its client's deadline because its host is silent. */
     @ParameterizedTest
     @CsvSource({"read, 503", "once, 504"})
-    void aSilentHostIsGivenUpAtTheDeadline(String type, int status) throws Exception {
+    void answersAtTheDeadlineThoughHostIsSilent(String type, int status) throws Exception {
         try (Server discovery = discoveryServer(); Server host = new Server(message -> { });
-                GatewayNode node = node(discovery, up("s1", host))) {
+                GatewayNode node = startNode(discovery, inService("s1", host))) {
             Message answer = node.sendRequest(type.equals("read") ? read(1000) : post(type, 1000, "x"));
             assertEquals(status, answer.status());
             assertNotNull(await(host.closedConnections));
@@ -168,9 +168,9 @@
 
     /** Guards against wasted work at a host: when the client disconnects, its attempt's connection is closed. */
     @Test
-    void aClientThatLeavesEndsItsAttempt() throws Exception {
+    void closesAttemptWhenClientDisconnects() throws Exception {
         try (Server discovery = discoveryServer(); Server host = new Server(message -> { });
-                GatewayNode node = node(discovery, up("s1", host))) {
+                GatewayNode node = startNode(discovery, inService("s1", host))) {
             Socket client = node.connect();
             write(client, read(60_000));
             await(host.received);
@@ -181,8 +181,8 @@
     }
 
     @Test
-    void requestsOnOneConnectionAreAnsweredInOrder() throws Exception {
-        try (Server discovery = discoveryServer(); Server host = hostResponding("ok"); GatewayNode node = node(discovery, up("s1", host))) {
+    void answersPipelinedRequestsInOrder() throws Exception {
+        try (Server discovery = discoveryServer(); Server host = hostResponding("ok"); GatewayNode node = startNode(discovery, inService("s1", host))) {
             Socket client = node.connect();
             write(client, read(20_000) + "GET /none HTTP/1.1\r\n\r\n" + post("start", 20_000, "x"));
             assertEquals(200, Loopback.read(client).status());
@@ -213,8 +213,8 @@
         "400 | POST /api HTTP/1.1~X-Trace-Id: \u00e9~X-Qos: once~X-Customer: acme~X-Expires-In-Ms: 900",
         "400 | GET /api HTTP/1.1~X-Trace-Id: 1~X-Qos: read~X-Customer: acme~X-Expires-In-Ms: -9",
         "200 | GET /ready HTTP/1.1"})
-    void badInputIsAnsweredAsSuch(int status, String request) throws Exception {
-        try (Server discovery = discoveryServer(); Server host = hostResponding("ok"); GatewayNode node = node(discovery, up("s1", host))) {
+    void rejectsInvalidRequestWithItsStatus(int status, String request) throws Exception {
+        try (Server discovery = discoveryServer(); Server host = hostResponding("ok"); GatewayNode node = startNode(discovery, inService("s1", host))) {
             Message answer = node.sendRequest(request.replace("~", "\r\n") + "\r\n\r\n");
             assertEquals(status, answer.status());
             assertNull(host.received.peek());
@@ -227,8 +227,8 @@
     @ValueSource(strings = {"Content-Length: 5~Transfer-Encoding: chunked~~0~~", "Transfer-Encoding: gzip~~",
         "Content-Length: 5~Content-Length: 6~~12345", "Content-Length: -1~~", "Content-Length: 99999999999999999999~~",
         "Transfer-Encoding: chunked~~zz~~", "Content-Length : 5~~12345"})
-    void aRequestWithoutAClearEndIsNotPassedOn(String rest) throws Exception {
-        try (Server discovery = discoveryServer(); Server host = hostResponding("ok"); GatewayNode node = node(discovery, up("s1", host))) {
+    void doesNotForwardRequestWithAmbiguousEnd(String rest) throws Exception {
+        try (Server discovery = discoveryServer(); Server host = hostResponding("ok"); GatewayNode node = startNode(discovery, inService("s1", host))) {
             Socket client = node.connect();
             String head = post("once", 20_000, "").replaceFirst("Content-Length.*(?s:.*)", "");
             write(client, head + rest.replace("~", "\r\n") + read(20_000));
@@ -239,8 +239,8 @@
     }
 
     @Test
-    void aBodyWhereNoneBelongsIsNotPassedOn() throws Exception {
-        try (Server discovery = discoveryServer(); Server host = hostResponding("ok"); GatewayNode node = node(discovery, up("s1", host))) {
+    void rejectsGetWithBody() throws Exception {
+        try (Server discovery = discoveryServer(); Server host = hostResponding("ok"); GatewayNode node = startNode(discovery, inService("s1", host))) {
             Message answer = node.sendRequest(read(20_000).replace("\r\n\r\n", "\r\nContent-Length: 1\r\n\r\nx"));
             assertEquals(400, answer.status());
             assertNull(host.received.peek());
@@ -250,14 +250,14 @@
     /** Guards against responses confused between clients, one of which uses the trace id of the other's open request.
         */
     @Test
-    void theIdOfAnOpenRequestIsTurnedAway() throws Exception {
+    void rejectsTraceIdOfOpenRequest() throws Exception {
         try (Server discovery = discoveryServer(); Server host = new Server(message -> { });
-                GatewayNode node = node(discovery, up("s1", host))) {
+                GatewayNode node = startNode(discovery, inService("s1", host))) {
             Socket first = node.connect();
             write(first, read(60_000));
-            Message held = await(host.received);
+            Message forwarded = await(host.received);
             assertEquals(409, node.sendRequest(read(60_000)).status());
-            write(held.socket(), response("200 OK", "mine"));
+            write(forwarded.socket(), response("200 OK", "mine"));
             assertEquals("mine", Loopback.read(first).bodyText());
             write(first, read(60_000));
             assertNotNull(await(host.received));
@@ -267,8 +267,8 @@
     /** Guards against connections occupied by clients that never finish a request, even if they trickle bytes. */
     @ParameterizedTest
     @ValueSource(strings = {"", "GET /api HT", "POST /api HTTP/1.1~Content-Length: 99~~part"})
-    void aRequestThatDoesNotComeWholeInTimeEndsItsConnection(String part) throws Exception {
-        try (Server discovery = discoveryServer(); Server host = hostResponding("ok"); GatewayNode node = node(discovery, up("s1", host))) {
+    void closesConnectionOfRequestThatIsTooSlow(String part) throws Exception {
+        try (Server discovery = discoveryServer(); Server host = hostResponding("ok"); GatewayNode node = startNode(discovery, inService("s1", host))) {
             Socket client = node.connect();
             write(client, part.replace("~", "\r\n"));
             assertEquals(-1, client.getInputStream().read());
--- a/src/test/java/mastdrift/net/TcpChannelTest.java
+++ b/src/test/java/mastdrift/net/TcpChannelTest.java
@@ -10,7 +10,7 @@
 class TcpChannelTest {
 
     @Test
-    void aShortageIsToldFromABreak() {
+    void recognizesPassingLackOfMemory() {
         assertTrue(TcpChannel.isShortage(new IOException("No buffer space available")));
         assertTrue(TcpChannel.isShortage(new IOException("Cannot allocate memory")));
         assertFalse(TcpChannel.isShortage(new IOException("Connection reset by peer")));
--- a/src/test/java/mastdrift/net/TcpServerChannelTest.java
+++ b/src/test/java/mastdrift/net/TcpServerChannelTest.java
@@ -20,10 +20,10 @@
 /** The time that a connection may have waited in the accept queue. */
 class TcpServerChannelTest {
 
-    private static final long PAUSE = 300_000;
+    private static final long PAUSE_MICROS = 300_000;
 
     private final AtomicLong clock = new AtomicLong(1_000_000);
-    private final BlockingQueue<Long> waited = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Long> waits = new LinkedBlockingQueue<>();
     private final EventLoop loop = Main.newEventLoop();
     private TcpServerChannel listener;
 
@@ -34,7 +34,7 @@
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        waited.add(((TcpChannel) channel).maxAcceptQueueMicros());
+                        waits.add(((TcpChannel) channel).maxAcceptQueueMicros());
                     }
                 }).bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)).sync().channel();
     }
@@ -48,35 +48,35 @@
         return new Socket(listener.localAddress().getAddress(), listener.localAddress().getPort());
     }
 
-    private void accept(boolean accepts) throws Exception {
-        loop.submit(() -> listener.setAccepting(accepts)).sync();
+    private void setAccepting(boolean accepting) throws Exception {
+        loop.submit(() -> listener.setAccepting(accepting)).sync();
     }
 
     @Test
-    void whoCameDuringAPauseMayHaveWaitedThroughAllOfIt() throws Exception {
-        accept(false);
+    void connectionFromPauseMayHaveWaitedThroughAllOfIt() throws Exception {
+        setAccepting(false);
         try (Socket one = connect(); Socket other = connect()) {
-            clock.addAndGet(PAUSE);
-            accept(true);
-            assertEquals(PAUSE, Loopback.await(waited));
-            assertEquals(PAUSE, Loopback.await(waited));
+            clock.addAndGet(PAUSE_MICROS);
+            setAccepting(true);
+            assertEquals(PAUSE_MICROS, Loopback.await(waits));
+            assertEquals(PAUSE_MICROS, Loopback.await(waits));
         }
-        clock.addAndGet(PAUSE);
+        clock.addAndGet(PAUSE_MICROS);
         try (Socket later = connect()) {
-            assertEquals(0, Loopback.await(waited));
+            assertEquals(0, Loopback.await(waits));
         }
     }
 
     /** No connection came during the pause: one that comes long after it has not waited. */
     @Test
-    void aPauseWithNobodyIsForgotten() throws Exception {
-        accept(false);
-        clock.addAndGet(PAUSE);
-        accept(true);
+    void pauseWithoutConnectionsLeavesNoWait() throws Exception {
+        setAccepting(false);
+        clock.addAndGet(PAUSE_MICROS);
+        setAccepting(true);
         awaitTimersOf(loop);
-        clock.addAndGet(PAUSE);
+        clock.addAndGet(PAUSE_MICROS);
         try (Socket later = connect()) {
-            assertEquals(0, Loopback.await(waited));
+            assertEquals(0, Loopback.await(waits));
         }
     }
 
