--- a/src/main/java/mastdrift/net/BodyRelay.java
+++ b/src/main/java/mastdrift/net/BodyRelay.java
@@ -97,7 +97,8 @@
         }
         boolean wasFull = isFull();
         writing = true;
-        for (Channel channel = target; channel != null && channel.isWritable() && !buffers.isEmpty(); channel = target) {
+        for (Channel channel = target; channel != null && channel.isWritable() && !buffers.isEmpty();
+                channel = target) {
             while (channel.isWritable() && !buffers.isEmpty()) {
                 ByteBuf buffer = buffers.poll();
                 bufferedBytes -= buffer.readableBytes();
--- a/src/main/java/mastdrift/net/ConnectionLimit.java
+++ b/src/main/java/mastdrift/net/ConnectionLimit.java
@@ -41,7 +41,8 @@
     private final Consumer<Boolean> acceptSwitch;
     private final Runnable onEvicted;
     private final Set<C> all = new HashSet<>();
-    private final LinkedHashSet<C> withoutRequest = new LinkedHashSet<>();  // those without a first request, oldest first
+    // Those without a first request, oldest first.
+    private final LinkedHashSet<C> withoutRequest = new LinkedHashSet<>();
     private final LinkedHashSet<C> idle = new LinkedHashSet<>();  // longest idle first
     private final LinkedHashSet<C> lingering = new LinkedHashSet<>();  // in a lingering close, oldest first
     private final Set<C> notYetRead = new HashSet<>();
@@ -90,7 +91,8 @@
         loop.execute(() -> loop.schedule(() -> firstReadDone(connection), FIRST_READ_MILLIS, TimeUnit.MILLISECONDS));
         if (all.size() > maxConnections && !lingering.isEmpty()) {
             C oldest = lingering.iterator().next();
-            lingering.remove(oldest);  // its close is reported only later, and the next new connection has to close another
+            // Its close is reported only later, and the next new connection has to close another.
+            lingering.remove(oldest);
             oldest.close();
         }
         enforce();
@@ -158,7 +160,8 @@
             }
             onEvicted.run();
             candidate.closeGracefully();
-            requestReceived(candidate);  // it may have closed by itself without being removed yet: not to be chosen again
+            // It may have closed by itself without being removed yet: not to be chosen again.
+            requestReceived(candidate);
         }
     }
 
--- a/src/main/java/mastdrift/net/DownstreamServer.java
+++ b/src/main/java/mastdrift/net/DownstreamServer.java
@@ -71,7 +71,8 @@
     // may be killed.
     private static final long MAX_SHUTDOWN_SERVE_MICROS = 1_500_000;
     private static final long SHUTDOWN_ANSWER_MICROS = 400_000;
-    private static final long MAX_SHUTDOWN_DEADLINE_MICROS = 3_000_000;  // longer deadlines do not delay the kill further
+    // Longer deadlines do not delay the kill further.
+    private static final long MAX_SHUTDOWN_DEADLINE_MICROS = 3_000_000;
     // A connection that is closed gracefully reads and discards input for this long, unless its client closes before.
     private static final long LINGER_MILLIS = 2000;
     /** Kept small, since hundreds of connections may each hold a read and a write of this size. */
@@ -90,7 +91,8 @@
     private static final String IDEMPOTENCY_KEY_HEADER = "Idempotency-Key";
     private static final String EXPIRES_HEADER = HostPool.EXPIRES;
     // If one of these headers came twice, the gateway and a host might use different values.
-    private static final List<String> SINGLE_VALUE_HEADERS = List.of(TRACE_ID_HEADER, IDEMPOTENCY_KEY_HEADER, EXPIRES_HEADER, "X-Qos", "X-Customer", "X-Object");
+    private static final List<String> SINGLE_VALUE_HEADERS = List.of(TRACE_ID_HEADER, IDEMPOTENCY_KEY_HEADER,
+            EXPIRES_HEADER, "X-Qos", "X-Customer", "X-Object");
 
     private final EventLoop loop;
     private final Gateway gateway;
@@ -98,7 +100,8 @@
     private final Map<String, RequestClass> requestClasses = new HashMap<>();
     private final Set<String> tenants = new HashSet<>();
     private final ConnectionLimit<ClientConnection> connections;
-    private final ReadAheadHandler.MemoryBudget readAheadBudget = new ReadAheadHandler.MemoryBudget(MAX_READ_AHEAD_BYTES);
+    private final ReadAheadHandler.MemoryBudget readAheadBudget =
+            new ReadAheadHandler.MemoryBudget(MAX_READ_AHEAD_BYTES);
     private final Set<String> openTraceIds = new HashSet<>();  // trace ids of requests without a response
     private TcpServerChannel serverChannel;
     private boolean sweepScheduled;
@@ -135,14 +138,16 @@
 
     /** Binds the address and accepts connections. */
     ChannelFuture listen(InetSocketAddress address) {
-        return trackListener(bootstrap().channelFactory(() -> new TcpServerChannel(gateway::now, this::acceptFailed, this::acceptEnded))
+        return trackListener(bootstrap().channelFactory(() ->
+                new TcpServerChannel(gateway::now, this::acceptFailed, this::acceptEnded))
                 .bind(address));
     }
 
     /** Accepts connections from a listening socket that predecessor and successor processes share. */
     ChannelFuture listenOnInherited(ServerSocketChannel inherited) {
         socketInherited = true;
-        return trackListener(bootstrap().channelFactory(() -> new TcpServerChannel(inherited, gateway::now, this::acceptFailed, this::acceptEnded))
+        return trackListener(bootstrap().channelFactory(() ->
+                new TcpServerChannel(inherited, gateway::now, this::acceptFailed, this::acceptEnded))
                 .register());
     }
 
@@ -187,8 +192,9 @@
                     protected void initChannel(Channel channel) {
                         ClientConnection connection = new ClientConnection(channel);
                         channel.pipeline().addLast(connection.readAhead,
-                                new ReadTimingHandler(gateway.loopMonitor(), LoopMonitor.Task.CLIENT_READ), connection.decoder,
-                                new HttpResponseEncoder(), connection.aggregator, new WriteTimeoutHandler(WRITE_TIMEOUT_SECONDS), connection);
+                                new ReadTimingHandler(gateway.loopMonitor(), LoopMonitor.Task.CLIENT_READ),
+                                connection.decoder, new HttpResponseEncoder(), connection.aggregator,
+                                new WriteTimeoutHandler(WRITE_TIMEOUT_SECONDS), connection);
                     }
                 });
     }
@@ -244,8 +250,8 @@
             onStopped = callback;
             notifyIfStopped();
         }, shutdownServeMicros(longestDeadline), TimeUnit.MICROSECONDS);
-        loop.schedule(() -> connections.awaitingRequest().forEach(ClientConnection::closeGracefully), shutdownAnswerMicros(longestDeadline),
-                TimeUnit.MICROSECONDS);
+        loop.schedule(() -> connections.awaitingRequest().forEach(ClientConnection::closeGracefully),
+                shutdownAnswerMicros(longestDeadline), TimeUnit.MICROSECONDS);
     }
 
     /** From the start of a shutdown until all requests are answered: less than until the kill, which comes 0.7 s plus
@@ -262,7 +268,8 @@
 
     /** Closes connections without a request. Those that are sending one are closed after its response. */
     private void closeIdle() {
-        connections.awaitingRequest().stream().filter(connection -> !connection.isSendingRequest()).forEach(ClientConnection::closeGracefully);
+        connections.awaitingRequest().stream().filter(connection -> !connection.isSendingRequest())
+                .forEach(ClientConnection::closeGracefully);
     }
 
     private void sweep() {
@@ -315,7 +322,8 @@
             implements Gateway.Client, ConnectionLimit.Evictable {
 
         private final Channel channel;
-        private final ReadAheadHandler readAhead = new ReadAheadHandler(readAheadBudget, this::isDisconnectRelevant, gateway::now);
+        private final ReadAheadHandler readAhead = new ReadAheadHandler(readAheadBudget, this::isDisconnectRelevant,
+                gateway::now);
         private final RequestDecoder decoder = new RequestDecoder();
         private final MessageAggregator aggregator = new MessageAggregator();
         private final RequestReadTimer readTimer = new RequestReadTimer();
@@ -340,7 +348,8 @@
 
         /** Pauses reading while enough requests wait or the relay of the incoming body is full. */
         private void updateReadPause() {
-            boolean mayRead = pendingRequests.size() <= MAX_PIPELINED_REQUESTS && (incomingBody == null || !incomingBody.isFull());
+            boolean mayRead = pendingRequests.size() <= MAX_PIPELINED_REQUESTS
+                    && (incomingBody == null || !incomingBody.isFull());
             if (readTimer.setPaused(!mayRead, gateway.now())) {
                 readAhead.setPaused(!mayRead);
             }
@@ -378,7 +387,8 @@
             response, which might cross a request and be taken for its response. */
         private void enforceTimeouts(long now) {
             boolean hasSentRequest = !connections.hasSentNoRequest(this);
-            long idleTimeout = drained ? DRAINED_IDLE_TIMEOUT_MICROS : hasSentRequest ? IDLE_TIMEOUT_MICROS : RequestReadTimer.HEAD_TIMEOUT_MICROS;
+            long idleTimeout = drained ? DRAINED_IDLE_TIMEOUT_MICROS : hasSentRequest ? IDLE_TIMEOUT_MICROS
+                    : RequestReadTimer.HEAD_TIMEOUT_MICROS;
             if (outputShutDown) {
                 return;  // a timer closes it
             }
@@ -428,8 +438,8 @@
             if (closeReason != CloseReason.CLIENT) {
                 gateway.tally().add(Tally.Count.UNANSWERED);
             }
-            gateway.eventLog().add(EventLog.Event.CLIENT_GONE, "trace", traceId, "reason", closeReason, "cause", failure, "waiting",
-                    pendingRequests.size());
+            gateway.eventLog().add(EventLog.Event.CLIENT_GONE, "trace", traceId, "reason", closeReason, "cause",
+                    failure, "waiting", pendingRequests.size());
         }
 
         @Override
@@ -484,7 +494,8 @@
                 if (!complete) {
                     close(CloseReason.REQUEST_BROKEN);
                 }
-            } else if (!outputShutDown && (!requestRead || decoder.hasPartialInput() || aggregator.hasIncompleteMessage())) {
+            } else if (!outputShutDown && (!requestRead || decoder.hasPartialInput()
+                    || aggregator.hasIncompleteMessage())) {
                 readTimer.start(gateway.now());
             }
             requestRead = false;
@@ -549,8 +560,10 @@
             request.setUri(originForm(request.uri()));
             String path = new QueryStringDecoder(request.uri()).rawPath();
             if (decodeError != null) {
-                boolean bodyTooLong = decodeError instanceof TooLongFrameException && "body".equals(decodeError.getMessage());
-                writeEmptyResponse(bodyTooLong ? HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE : HttpResponseStatus.BAD_REQUEST, true);
+                boolean bodyTooLong = decodeError instanceof TooLongFrameException
+                        && "body".equals(decodeError.getMessage());
+                writeEmptyResponse(bodyTooLong ? HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE
+                        : HttpResponseStatus.BAD_REQUEST, true);
             } else if (path.equals("/ready")) {
                 boolean get = request.method().equals(HttpMethod.GET);
                 writeEmptyResponse(!get ? HttpResponseStatus.METHOD_NOT_ALLOWED
@@ -576,13 +589,17 @@
             long expiresInMillis = parseNumber(headers.get(EXPIRES_HEADER));
             String trace = headers.get(TRACE_ID_HEADER, "");
             boolean keyed = requestClass != null && requestClass.idempotency() == Idempotency.KEYED;
-            boolean invalid = requestClass == null || expiresInMillis <= 0 || !tenants.isEmpty() && !tenants.contains(tenant)
-                    || !isForwardable(trace) || !isForwardable(request.uri()) || !isForwardable(headers.get(IDEMPOTENCY_KEY_HEADER, keyed ? "" : "-"))
+            boolean invalid = requestClass == null || expiresInMillis <= 0
+                    || !tenants.isEmpty() && !tenants.contains(tenant)
+                    || !isForwardable(trace) || !isForwardable(request.uri())
+                    || !isForwardable(headers.get(IDEMPOTENCY_KEY_HEADER, keyed ? "" : "-"))
                     || SINGLE_VALUE_HEADERS.stream().anyMatch(name -> headers.getAll(name).size() > 1);
             if (request.method().equals(HttpMethod.GET) && (request.content().isReadable() || currentBody != null)) {
-                writeEmptyResponse(HttpResponseStatus.BAD_REQUEST, true);  // a host that ignores the body would read it as a request
+                // A host that ignores the body would read it as a request.
+                writeEmptyResponse(HttpResponseStatus.BAD_REQUEST, true);
             } else if (!request.method().equals(HttpMethod.GET) && !request.method().equals(HttpMethod.POST)
-                    || !invalid && request.method().equals(HttpMethod.GET) != (requestClass.idempotency() == Idempotency.SAFE)) {
+                    || !invalid
+                    && request.method().equals(HttpMethod.GET) != (requestClass.idempotency() == Idempotency.SAFE)) {
                 writeEmptyResponse(HttpResponseStatus.METHOD_NOT_ALLOWED, false);
             } else if (invalid) {
                 writeEmptyResponse(HttpResponseStatus.BAD_REQUEST, false);
@@ -590,11 +607,13 @@
                 writeEmptyResponse(HttpResponseStatus.CONFLICT, false);  // responses with one id could be confused
             } else {
                 traceId = trace;
-                long timeLeft = Math.min(expiresInMillis * 1000, requestClass.deadline()) - waited - acceptQueueMicros();
+                long timeLeft = Math.min(expiresInMillis * 1000, requestClass.deadline()) - waited
+                        - acceptQueueMicros();
                 long work = Math.max(0, parseNumber(headers.get("X-Size-Hint")));
                 Gateway.Exchange accepted = gateway.submit(this, request, currentBody, requestClass.name(), tenant,
                         hashKey(headers.get("X-Object")), timeLeft, "1".equals(headers.get("X-Second-Try")), work);
-                if (accepted != null) {  // otherwise it was answered, and the next request may have been submitted already
+                // Null if it was answered at once: the next request may have been submitted already.
+                if (accepted != null) {
                     exchange = accepted;
                 }
             }
@@ -646,7 +665,8 @@
         @Override
         public void sendResponse(FullHttpResponse response) {
             ByteBuf body = response.content().retain();
-            FullHttpResponse clientResponse = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK, body);
+            FullHttpResponse clientResponse = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK,
+                    body);
             copyContentType(response, clientResponse);
             writeResponse(clientResponse, false);
         }
@@ -712,7 +732,8 @@
         /** Whether the connection stays open after the response to the current request. */
         private boolean shouldKeepAlive() {
             boolean mayContinue = !closeAfterResponse || !pendingRequests.isEmpty() || hasUnprocessedInput();
-            return mayContinue && HttpUtil.isKeepAlive(currentRequest) && (currentBody == null || currentBody.isComplete());
+            return mayContinue && HttpUtil.isKeepAlive(currentRequest)
+                    && (currentBody == null || currentBody.isComplete());
         }
 
         private void writeResponse(FullHttpResponse response, boolean close) {
--- a/src/main/java/mastdrift/net/Gateway.java
+++ b/src/main/java/mastdrift/net/Gateway.java
@@ -91,7 +91,8 @@
         private boolean lastAttemptExpired;
         private boolean ended;
 
-        private Exchange(Client client, String className, FullHttpRequest request, BodyRelay bodyRelay, long timeBudget) {
+        private Exchange(Client client, String className, FullHttpRequest request, BodyRelay bodyRelay,
+                long timeBudget) {
             this.client = client;
             this.className = className;
             this.request = request;
@@ -108,7 +109,8 @@
 
         private void scheduleDeadlineTimer() {
             long remaining = Math.min(deadline, answerDeadline - RESPONSE_MARGIN_MICROS) - now();
-            deadlineTimer = loop.schedule(() -> deadlineExceeded(this), remaining + DEADLINE_GRACE_MICROS, TimeUnit.MICROSECONDS);
+            deadlineTimer = loop.schedule(() -> deadlineExceeded(this), remaining + DEADLINE_GRACE_MICROS,
+                    TimeUnit.MICROSECONDS);
         }
 
         /** Applies an earlier deadline of the gateway. The timer stays off while a body is in transit: that is bounded
@@ -171,8 +173,8 @@
 
     /** Starts the balancer; must be called on the loop's thread. {@code nanoTime} counts from an arbitrary origin.
         {@code logOutput} receives log lines and must not block. */
-    Gateway(Config config, EventLoop loop, LongSupplier nanoTime, Balancer balancer, Tally tally, int maxHostConnections,
-            int maxOpenRequests, Consumer<String> logOutput) {
+    Gateway(Config config, EventLoop loop, LongSupplier nanoTime, Balancer balancer, Tally tally,
+            int maxHostConnections, int maxOpenRequests, Consumer<String> logOutput) {
         this.loop = loop;
         this.nanoTime = nanoTime;
         clockOffset = System.currentTimeMillis() * 1000 - nanoTime.getAsLong() / 1000;
@@ -184,13 +186,16 @@
         loop.parent().terminationFuture().addListener(ended -> times.close());
         loopMonitor = new LoopMonitor(this::now, times::read, tally, log);
         hostStarts = new HostStarts(this::now, () -> System.currentTimeMillis() * 1000,
-                () -> log.add(EventLog.Event.CLOCK_STEPPED, "unix_ms", System.currentTimeMillis(), "steady_ms", now() / 1000));
+                () -> log.add(EventLog.Event.CLOCK_STEPPED, "unix_ms", System.currentTimeMillis(), "steady_ms",
+                now() / 1000));
         settings = config.settings();
         this.maxOpenRequests = Math.min(maxOpenRequests, settings.limits().maxOpenRequests());
-        hostPool = new HostPool(loop, this::now, loopMonitor, settings.connections().dialTimeout(), settings.connections().idleTimeout(),
+        hostPool = new HostPool(loop, this::now, loopMonitor, settings.connections().dialTimeout(),
+                settings.connections().idleTimeout(),
                 settings.guarantees().drainGrace(), maxHostConnections, tally, log);
         discovery = new Discovery(loop, config.discovery(), config.known().rev(),
-                list -> hostListReceived(list, list.all() ? ListUpdateType.FULL : ListUpdateType.DELTA), this::hostListFailed);
+                list -> hostListReceived(list, list.all() ? ListUpdateType.FULL : ListUpdateType.DELTA),
+                this::hostListFailed);
         PeriodicTask.schedule(loop, COUNTS_LOG_INTERVAL_MICROS, this::logCounts, this::log);
         balancer.start(now(), settings, this);
         hostListReceived(config.known(), ListUpdateType.CACHED);
@@ -231,7 +236,8 @@
 
     /** Starts to update those metrics that are polled from the balancer rather than counted. */
     void startGaugeUpdates() {
-        PeriodicTask.schedule(loop, GAUGE_UPDATE_INTERVAL_MICROS, () -> tally.set(Tally.Gauge.HOSTS_EXCLUDED, balancer.excludedHostCount(now())), this::log);
+        PeriodicTask.schedule(loop, GAUGE_UPDATE_INTERVAL_MICROS,
+                () -> tally.set(Tally.Gauge.HOSTS_EXCLUDED, balancer.excludedHostCount(now())), this::log);
     }
 
     /** Whether all requests and their attempts have ended and no resources are held for them. */
@@ -306,7 +312,8 @@
         hostPool.update(list);
         tally.set(Tally.Gauge.HOSTS_KNOWN, hostPool.known());
         log("list " + list.rev() + ": " + list.entries().size() + (list.all() ? " hosts" : " changes"));
-        dispatch(null, now -> balancer.hostListReceived(now, type, list.entries().stream().map(HostList.Entry::host).toList()));
+        dispatch(null, now -> balancer.hostListReceived(now, type,
+                list.entries().stream().map(HostList.Entry::host).toList()));
         loopMonitor.ended(LoopMonitor.Task.HOST_LIST, startedAt);
         if (type != ListUpdateType.CACHED) {
             firstListReceived.complete(null);
@@ -325,8 +332,8 @@
 
     /** Accepts a request, retaining its message. {@code timeLeft} counts from the request's last byte;
         {@code bodyRelay} is null if the request is complete. Returns null if the request was answered at once. */
-    Exchange submit(Client client, FullHttpRequest request, BodyRelay bodyRelay, String className, String tenant, Long key,
-            long timeLeft, boolean repeated, long work) {
+    Exchange submit(Client client, FullHttpRequest request, BodyRelay bodyRelay, String className, String tenant,
+            Long key, long timeLeft, boolean repeated, long work) {
         tally.add(Tally.Count.TAKEN);
         if (openRequests >= maxOpenRequests) {
             tally.add(Tally.Count.REFUSED_AT_BOUND);
@@ -398,8 +405,8 @@
         exchange.lastAttemptExpired = outcome == Outcome.EXPIRED;
         tally.add(outcome);
         if (outcome != Outcome.DELIVERED && !exchange.ended) {
-            log.add(EventLog.Event.ATTEMPT_FAILED, "trace", exchange.traceId, "attempt", number, "host", hostId, "outcome", outcome,
-                    "after_us", elapsed);
+            log.add(EventLog.Event.ATTEMPT_FAILED, "trace", exchange.traceId, "attempt", number, "host", hostId,
+                    "outcome", outcome, "after_us", elapsed);
         }
         if (outcome == Outcome.DELIVERED && !exchange.ended && !exchange.responseStreaming) {
             finish(exchange);
@@ -409,7 +416,8 @@
         dispatch(exchange, now -> {
             exchange.unresolvedAttempts--;
             removeIfDone(exchange);
-            balancer.attemptEnded(now, exchange.id, number, hostId, outcome, elapsed, exchange.ended || exchange.responseStreaming, report);
+            balancer.attemptEnded(now, exchange.id, number, hostId, outcome, elapsed,
+                    exchange.ended || exchange.responseStreaming, report);
         });
     }
 
@@ -515,14 +523,17 @@
         @Override
         public void ended(Outcome outcome, FullHttpResponse response) {
             long elapsed = (responseStartedAt == 0 ? now() : responseStartedAt) - sentAt;
-            attemptEnded(exchange, number, hostId, elapsed, outcome, response, loadReport == null ? loadReport(response) : loadReport);
+            attemptEnded(exchange, number, hostId, elapsed, outcome, response,
+                    loadReport == null ? loadReport(response) : loadReport);
         }
     }
 
     private static FullHttpRequest upstreamRequest(Exchange exchange) {
         FullHttpRequest original = exchange.request;
-        ByteBuf body = exchange.ended || exchange.requestStreaming ? Unpooled.EMPTY_BUFFER : original.content().retainedDuplicate();
-        FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, original.method(), original.uri(), body);
+        ByteBuf body = exchange.ended || exchange.requestStreaming ? Unpooled.EMPTY_BUFFER
+                : original.content().retainedDuplicate();
+        FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, original.method(), original.uri(),
+                body);
         for (String name : FORWARDED_HEADERS) {
             if (original.headers().contains(name)) {
                 request.headers().set(name, original.headers().get(name));
--- a/src/main/java/mastdrift/net/Main.java
+++ b/src/main/java/mastdrift/net/Main.java
@@ -112,7 +112,8 @@
             try {
                 return Config.read(System.getenv());
             } catch (IllegalArgumentException e) {
-                boolean unreadable = e.getCause() instanceof FileSystemException && !(e.getCause() instanceof NoSuchFileException);
+                boolean unreadable = e.getCause() instanceof FileSystemException
+                        && !(e.getCause() instanceof NoSuchFileException);
                 if (!unreadable || tries == CONFIG_READ_TRIES) {
                     throw e;
                 }
@@ -178,11 +179,12 @@
 
     /** Creates a gateway and its server, which does not listen yet, on the loop. {@code nanoTime} counts from an
         arbitrary origin. Throws IllegalArgumentException for invalid settings. */
-    static DownstreamServer createServer(Config config, EventLoop loop, LongSupplier nanoTime, Life lifecycle, Tally tally,
-            Consumer<String> logOutput) {
+    static DownstreamServer createServer(Config config, EventLoop loop, LongSupplier nanoTime, Life lifecycle,
+            Tally tally, Consumer<String> logOutput) {
         int maxConnections = maxConnections(config.sockets());
         return CompletableFuture.supplyAsync(() -> {
-            Gateway gateway = new Gateway(config, loop, nanoTime, new HeadroomBalancer(), tally, maxConnections, maxOpenRequests(maxConnections), logOutput);
+            Gateway gateway = new Gateway(config, loop, nanoTime, new HeadroomBalancer(), tally, maxConnections,
+                    maxOpenRequests(maxConnections), logOutput);
             if (config.admin() != null) {
                 gateway.startGaugeUpdates();
             }
@@ -197,8 +199,8 @@
 
     /** Starts to accept clients, on the inherited socket if there is one. Throws IllegalArgumentException if that
         fails. */
-    static void listen(DownstreamServer server, Config config, ServerSocketChannel inheritedSocket, EventLoop loop, Life lifecycle,
-            Consumer<String> logOutput) {
+    static void listen(DownstreamServer server, Config config, ServerSocketChannel inheritedSocket, EventLoop loop,
+            Life lifecycle, Consumer<String> logOutput) {
         ChannelFuture listening = startListening(server, config, inheritedSocket);
         for (int tries = 1; !listening.isSuccess() && tries < LISTEN_TRIES; tries++) {
             logOutput.accept("not listening yet on " + config.listen() + ": " + listening.cause().getMessage());
@@ -213,8 +215,10 @@
         lifecycle.started(() -> loop.execute(server::lifecycleStateChanged));
     }
 
-    private static ChannelFuture startListening(DownstreamServer server, Config config, ServerSocketChannel inheritedSocket) {
-        return (inheritedSocket == null ? server.listen(config.listen()) : server.listenOnInherited(inheritedSocket)).awaitUninterruptibly();
+    private static ChannelFuture startListening(DownstreamServer server, Config config,
+            ServerSocketChannel inheritedSocket) {
+        return (inheritedSocket == null ? server.listen(config.listen()) : server.listenOnInherited(inheritedSocket))
+                .awaitUninterruptibly();
     }
 
     private static void sleepBeforeRetry() {
--- a/src/main/java/mastdrift/net/MessageAggregator.java
+++ b/src/main/java/mastdrift/net/MessageAggregator.java
@@ -120,7 +120,8 @@
             aggregate(context, piece);
             if (error != null || last) {
                 emit(context, error, null);
-            } else if (body.readableBytes() > MAX_AGGREGATED_BYTES || contentLength > MAX_AGGREGATED_BYTES && body.isReadable()) {
+            } else if (body.readableBytes() > MAX_AGGREGATED_BYTES
+                    || contentLength > MAX_AGGREGATED_BYTES && body.isReadable()) {
                 startRelay(context);
             }
         }
--- a/src/main/java/mastdrift/net/ReadAheadHandler.java
+++ b/src/main/java/mastdrift/net/ReadAheadHandler.java
@@ -194,7 +194,8 @@
         some. */
     void updateAutoRead() {
         boolean hasRoom = !paused ? bufferedBytes < MAX_TURN_BYTES
-                : bufferedBytes < MAX_READ_AHEAD_BYTES && budget.usedBytes < budget.maxBytes && disconnectRelevant.getAsBoolean();
+                : bufferedBytes < MAX_READ_AHEAD_BYTES && budget.usedBytes < budget.maxBytes
+                && disconnectRelevant.getAsBoolean();
         boolean autoRead = !rearmingSelector && (discarding || hasRoom);
         if (autoRead != context.channel().config().isAutoRead()) {
             selectorNotified = false;
@@ -206,7 +207,8 @@
         the connection again if there was input. The system may have lacked the memory to watch it, which the JDK does
         not report. */
     void readUnlessNotified() {
-        if (selectorNotified || rearmingSelector || hasBufferedData() || !(context.channel() instanceof TcpChannel connection)) {
+        if (selectorNotified || rearmingSelector || hasBufferedData()
+                || !(context.channel() instanceof TcpChannel connection)) {
             return;
         }
         connection.readNow();
--- a/src/main/java/mastdrift/net/TcpChannel.java
+++ b/src/main/java/mastdrift/net/TcpChannel.java
@@ -21,7 +21,8 @@
     private static final int END_OF_STREAM = -1;
     private static final int NOTHING_READ = 0;
     // The JDK reports ENOBUFS and ENOMEM by the system's message alone.
-    private static final List<String> SHORTAGE_MESSAGES = List.of("no buffer space available", "cannot allocate memory");
+    private static final List<String> SHORTAGE_MESSAGES = List.of("no buffer space available",
+            "cannot allocate memory");
     // System calls that set up an accepted connection may fail though the connection is sound; closing it would lose
     // its client's request.
     private static final int MAX_ADOPT_TRIES = 100;
--- a/src/main/java/mastdrift/net/TcpServerChannel.java
+++ b/src/main/java/mastdrift/net/TcpServerChannel.java
@@ -56,7 +56,8 @@
     }
 
     /** A socket that was bound by another process, which may still hold it. */
-    TcpServerChannel(ServerSocketChannel inherited, LongSupplier clock, Consumer<Exception> onFailure, LongConsumer onAcceptEnded) {
+    TcpServerChannel(ServerSocketChannel inherited, LongSupplier clock, Consumer<Exception> onFailure,
+            LongConsumer onAcceptEnded) {
         super(inherited);
         this.clock = clock;
         this.onFailure = onFailure;
@@ -80,7 +81,8 @@
             markPaused();
         } else if (mayHaveQueued && isRegistered()) {
             // A timer that one of the loop's tasks sets runs only after the loop has processed all sockets.
-            eventLoop().execute(() -> eventLoop().schedule(this::clearPauseMark, QUEUE_READ_MILLIS, TimeUnit.MILLISECONDS));
+            eventLoop().execute(() -> eventLoop().schedule(this::clearPauseMark, QUEUE_READ_MILLIS,
+                    TimeUnit.MILLISECONDS));
         }
         config().setAutoRead(accepting);
     }
@@ -216,7 +218,8 @@
         pipeline().fireChannelReadComplete();
         int remaining = maxConnections - accepted.size();
         if (failed && remaining > 0 && triesLeft > 1) {
-            eventLoop().schedule(() -> drainAndClose(remaining, triesLeft - 1), ACCEPT_RETRY_MILLIS, TimeUnit.MILLISECONDS);
+            eventLoop().schedule(() -> drainAndClose(remaining, triesLeft - 1), ACCEPT_RETRY_MILLIS,
+                    TimeUnit.MILLISECONDS);
         } else {
             close();
         }
--- a/src/test/java/mastdrift/net/ConnectionLimitTest.java
+++ b/src/test/java/mastdrift/net/ConnectionLimitTest.java
@@ -21,7 +21,8 @@
 
     private final EventLoop loop = Main.newEventLoop();
     private final List<Boolean> acceptSwitches = new ArrayList<>();
-    private final ConnectionLimit<TestConnection> limit = new ConnectionLimit<>(loop, 2, acceptSwitches::add, () -> { });
+    private final ConnectionLimit<TestConnection> limit = new ConnectionLimit<>(loop, 2, acceptSwitches::add,
+            () -> { });
 
     private final class TestConnection implements ConnectionLimit.Evictable {
 
@@ -81,7 +82,8 @@
     /** Guards against an endless loop over a connection that has closed by itself and has not been removed yet. */
     @Test
     void doesNotChooseClosedConnectionTwice() throws Exception {
-        TestConnection oldest = loop.submit(() -> List.of(new TestConnection(false), new TestConnection(true), new TestConnection(true))).get().get(1);
+        TestConnection oldest = loop.submit(() -> List.of(new TestConnection(false), new TestConnection(true),
+                new TestConnection(true))).get().get(1);
         awaitCondition(() -> oldest.closedGracefully);
         assertEquals(true, loop.submit(() -> acceptSwitches.get(acceptSwitches.size() - 1)).get());
     }
@@ -104,7 +106,8 @@
     /** Guards against closing a new connection before its client has had the time to write, though others are idle. */
     @Test
     void evictsIdleConnectionBeforeTheNewest() throws Exception {
-        List<TestConnection> idle = loop.submit(() -> List.of(new TestConnection(true), new TestConnection(true))).get();
+        List<TestConnection> idle = loop.submit(() -> List.of(new TestConnection(true), new TestConnection(true)))
+                .get();
         TestConnection newcomer = loop.submit(() -> {
             idle.forEach(limit::requestReceived);
             idle.forEach(limit::becameIdle);
@@ -118,7 +121,8 @@
         loop each replace another lingering one. */
     @Test
     void newConnectionsOfOneTurnEachReplaceALingeringOne() throws Exception {
-        List<TestConnection> first = loop.submit(() -> List.of(new TestConnection(true), new TestConnection(true), new TestConnection(true), new TestConnection(true))).get();
+        List<TestConnection> first = loop.submit(() -> List.of(new TestConnection(true), new TestConnection(true),
+                new TestConnection(true), new TestConnection(true))).get();
         awaitCondition(() -> first.stream().filter(place -> place.closedGracefully).count() == 2);
         loop.submit(() -> List.of(new TestConnection(true), new TestConnection(true))).get();
         assertEquals(2, first.stream().filter(place -> place.closed).count());
--- a/src/test/java/mastdrift/net/EndingsTest.java
+++ b/src/test/java/mastdrift/net/EndingsTest.java
@@ -82,7 +82,8 @@
     @Test
     void doesNotRetryAfterTheDeduplicationWindow() throws Exception {
         String settings = SETTINGS.replace("\"dedup_window\":60000000", "\"dedup_window\":5000000");
-        try (Server discovery = discoveryServer(); Server first = new Server(message -> { }); FullBacklogHost fullHost = new FullBacklogHost();
+        try (Server discovery = discoveryServer(); Server first = new Server(message -> { });
+                FullBacklogHost fullHost = new FullBacklogHost();
                 GatewayNode node = startNode(discovery, settings, inService("s1", first.address()))) {
             Socket client = node.connect();
             write(client, post("start", 20_000, "x"));
@@ -227,7 +228,8 @@
                     client.close();
                 }
             });
-            assertEquals(200, node.sendRequest("GET /ready HTTP/1.1\r\n\r\n").status());  // all that waited in the sockets has been read
+            // All that waited in the sockets has been read.
+            assertEquals(200, node.sendRequest("GET /ready HTTP/1.1\r\n\r\n").status());
             awaitIdle(node);
             assertEquals(0, count(node, Tally.Count.TAKEN));
             assertEquals(0, host.received.size());
@@ -281,7 +283,8 @@
                 }
             });
             for (Socket client : clients) {
-                assertNotNull(Loopback.read(client), "closed without a response");  // 7 of 8 connections may have open requests
+                // 7 of 8 connections may have open requests.
+                assertNotNull(Loopback.read(client), "closed without a response");
             }
             awaitIdle(node);
         }
@@ -321,7 +324,8 @@
     void shutdownDoesNotResetClientThatIsSending() throws Exception {
         CountDownLatch stopped = new CountDownLatch(1);
         try (Server discovery = discoveryServer(); Server host = Loopback.hostResponding("one");
-                GatewayNode node = startNode(discovery, SETTINGS.replace("\"deadline\":60000000", "\"deadline\":1000000"),
+                GatewayNode node = startNode(discovery,
+                        SETTINGS.replace("\"deadline\":60000000", "\"deadline\":1000000"),
                         inService("s1", host.address()))) {
             Socket client = node.connect();
             write(client, post("start", 60_000, "x".repeat(1_000)).substring(0, 600));
@@ -537,7 +541,8 @@
             Socket client = node.connect();
             write(client, read(60_000));
             await(host.received);
-            node.loop.submit(() -> node.server.stop(stopped::countDown)).sync();  // the time starts once the shutdown has
+            // The time starts once the shutdown has.
+            node.loop.submit(() -> node.server.stop(stopped::countDown)).sync();
             assertTrue(isIdleAfter(node, (int) (DownstreamServer.shutdownAnswerMicros(60_000_000) / 1000)));
             assertEquals(504, Loopback.read(client).status());
             assertEquals(-1, client.getInputStream().read());
--- a/src/test/java/mastdrift/net/GatewayTest.java
+++ b/src/test/java/mastdrift/net/GatewayTest.java
@@ -96,8 +96,9 @@
                 });
         try (Server discovery = discoveryServer()) {
             Config config = Config.read(environment(folder, discovery, hostList(1, true), SETTINGS));
-            loop.submit(() -> new Gateway(config, loop, System::nanoTime, balancer, config.tally(), 8, 8, new PrintStream(log,
-                    true, StandardCharsets.UTF_8)::println).submit(client, new DefaultFullHttpRequest(HttpVersion.HTTP_1_1,
+            loop.submit(() -> new Gateway(config, loop, System::nanoTime, balancer, config.tally(), 8, 8,
+                    new PrintStream(log, true, StandardCharsets.UTF_8)::println)
+                    .submit(client, new DefaultFullHttpRequest(HttpVersion.HTTP_1_1,
                     HttpMethod.GET, "/api"), null, "read", "acme", null, timeLeft, false, 0)).sync();
         }
     }
@@ -125,7 +126,8 @@
     void failsRequestThatTheBalancerNeverAnswers() throws Exception {
         submit(50_000, (balancerActions, id) -> { });
         assertEquals("late", Loopback.await(answers));
-        assertEquals(List.of("start", "hostListReceived", "requestReceived", "end of request", "clientLeft"), awaitEvents(5));
+        assertEquals(List.of("start", "hostListReceived", "requestReceived", "end of request", "clientLeft"),
+                awaitEvents(5));
     }
 
     @Test
@@ -149,7 +151,8 @@
             balancerActions.send(id, "unknown", 1_000_000);
             balancerActions.send(id, "unknown", 1_000_000);
         });
-        assertEquals(List.of("start", "hostListReceived", "requestReceived", "end of request", "attemptEnded", "attemptEnded"), awaitEvents(6));
+        assertEquals(List.of("start", "hostListReceived", "requestReceived", "end of request", "attemptEnded",
+                "attemptEnded"), awaitEvents(6));
     }
 
     /** Guards against an attempt for a client that disconnected while the loop was delayed, or whose disconnect comes
@@ -164,7 +167,8 @@
             }
             balancerActions.send(id, "unknown", 1_000_000);
         });
-        assertEquals(List.of("start", "hostListReceived", "requestReceived", "end of request", "clientLeft", "attemptEnded"), awaitEvents(6));
+        assertEquals(List.of("start", "hostListReceived", "requestReceived", "end of request", "clientLeft",
+                "attemptEnded"), awaitEvents(6));
         assertEquals(1, connectionChecks);
         assertNull(answers.peek());
     }
--- a/src/test/java/mastdrift/net/LongBodyTest.java
+++ b/src/test/java/mastdrift/net/LongBodyTest.java
@@ -63,7 +63,8 @@
         for (Server host : hosts) {
             entries.add(hostEntry("s" + entries.size(), host.address(), "a", "in_service"));
         }
-        return new GatewayNode(environment(folder, discovery, hostList(1, true, entries.toArray(new String[0])), SETTINGS));
+        return new GatewayNode(environment(folder, discovery, hostList(1, true, entries.toArray(new String[0])),
+                SETTINGS));
     }
 
     private static byte[] bytes(int count) {
@@ -94,7 +95,8 @@
     @ValueSource(strings = {"length", "chunks"})
     void streamsRequestUnchangedAndKeepsConnection(String framing) throws Exception {
         byte[] body = bytes(LONG_BODY_BYTES);
-        try (Server discovery = discoveryServer(); Server host = hostResponding("taken"); GatewayNode node = startNode(discovery, host)) {
+        try (Server discovery = discoveryServer(); Server host = hostResponding("taken");
+                GatewayNode node = startNode(discovery, host)) {
             Socket client = node.connect();
             for (int i = 0; i < 2; i++) {
                 if (framing.equals("length")) {
@@ -165,7 +167,8 @@
             assertTrue(head.toString().startsWith("HTTP/1.1 200 OK"), head.toString());
             clientReceived.countDown();
             StringBuilder rest = new StringBuilder();
-            while (!rest.toString().endsWith(chunked ? "0\r\n\r\n" : "y".repeat(9)) || !chunked && rest.length() < 69_999) {
+            while (!rest.toString().endsWith(chunked ? "0\r\n\r\n" : "y".repeat(9))
+                    || !chunked && rest.length() < 69_999) {
                 int next = client.getInputStream().read();
                 assertTrue(next >= 0);
                 rest.append((char) next);
@@ -246,9 +249,11 @@
     void sendsLongRequestToAnotherHostAfterFailedConnection() throws Exception {
         Server closed = hostResponding("");
         closed.close();
-        try (Server discovery = discoveryServer(); Server host = hostResponding("ok"); GatewayNode node = startNode(discovery, closed, closed, host)) {
+        try (Server discovery = discoveryServer(); Server host = hostResponding("ok");
+                GatewayNode node = startNode(discovery, closed, closed, host)) {
             for (int i = 0; i < 6; i++) {
-                Message answer = node.sendRequest(head("Content-Length: 100000").replace("7f3a", "key" + i) + "x".repeat(100_000));
+                Message answer = node.sendRequest(head("Content-Length: 100000").replace("7f3a", "key" + i)
+                        + "x".repeat(100_000));
                 assertEquals("ok", answer.bodyText());
             }
         }
@@ -257,7 +262,8 @@
     /** Guards against a malformed request that a host runs. */
     @Test
     void doesNotRunMalformedLongRequest() throws Exception {
-        try (Server discovery = discoveryServer(); Server host = hostResponding("ran"); GatewayNode node = startNode(discovery, host)) {
+        try (Server discovery = discoveryServer(); Server host = hostResponding("ran");
+                GatewayNode node = startNode(discovery, host)) {
             Socket client = node.connect();
             write(client, head("Transfer-Encoding: chunked"));
             writeChunk(client.getOutputStream(), bytes(100_000), 0, 100_000);
@@ -298,9 +304,11 @@
     @ParameterizedTest
     @ValueSource(ints = {10, 200_000})
     void sendsContinueInTurn(int length) throws Exception {
-        try (Server discovery = discoveryServer(); Server host = hostResponding("ok"); GatewayNode node = startNode(discovery, host)) {
+        try (Server discovery = discoveryServer(); Server host = hostResponding("ok");
+                GatewayNode node = startNode(discovery, host)) {
             Socket client = node.connect();
-            write(client, read(20_000) + head("Content-Length: " + length + "\r\nExpect: 100-continue").replace("9b1f", "2"));
+            write(client, read(20_000) + head("Content-Length: " + length + "\r\nExpect: 100-continue")
+                    .replace("9b1f", "2"));
             assertEquals(200, Loopback.read(client).status());
             assertEquals(100, Loopback.read(client).status());
             write(client, "x".repeat(length));
@@ -312,7 +320,8 @@
     /** Guards against a limit on the whole request that slow but permitted clients can't keep. */
     @Test
     void acceptsSlowBodyThatMakesProgress() throws Exception {
-        try (Server discovery = discoveryServer(); Server host = hostResponding("ok"); GatewayNode node = startNode(discovery, host)) {
+        try (Server discovery = discoveryServer(); Server host = hostResponding("ok");
+                GatewayNode node = startNode(discovery, host)) {
             Socket client = node.connect();
             write(client, head("Content-Length: 600000"));
             for (int i = 0; i < 60; i++) {
--- a/src/test/java/mastdrift/net/Loopback.java
+++ b/src/test/java/mastdrift/net/Loopback.java
@@ -72,7 +72,8 @@
             }
             String length = message.header("Content-Length");
             byte[] body = length == null ? message.body : in.readNBytes(Integer.parseInt(length));
-            return length == null || body.length == Integer.parseInt(length) ? new Message(message.head, body, socket) : null;
+            return length == null || body.length == Integer.parseInt(length) ? new Message(message.head, body, socket)
+                    : null;
         } catch (IOException e) {
             return null;
         }
@@ -195,7 +196,8 @@
         repeats a connection attempt that found the queue full after a second. */
     static final class FullBacklogHost implements AutoCloseable {
 
-        private static final int CONNECT_TIMEOUT_MILLIS = 500;  // far above the time that a connection on this machine takes
+        // Far above the time that a connection on this machine takes.
+        private static final int CONNECT_TIMEOUT_MILLIS = 500;
         private final ServerSocket socket;
         private final List<Socket> queuedConnections = new ArrayList<>();
         private final Set<Integer> ownPorts = new HashSet<>();  // the ports of this class's own connection attempts
@@ -275,7 +277,8 @@
     static final String SETTINGS = "{\"allowed\":{\"cancel\":true,\"conn_idle\":5000000,\"dial_timeout\":20000000,"
             + "\"max_attempts\":4,\"max_open\":20000,\"max_retry_after\":2000000,\"parallel_tries\":true,"
             + "\"probes\":false,\"retry_after\":false},\"balancers\":1,\"classes\":["
-            + classJson("read", "read_like") + "," + classJson("start", "idempotency_key") + "," + classJson("once", "non_idempotent")
+            + classJson("read", "read_like") + "," + classJson("start", "idempotency_key") + ","
+            + classJson("once", "non_idempotent")
             + "],\"dcs\":[\"a\",\"b\"],\"guarantees\":{\"cold_from\":0.13,\"drain_grace\":250000,\"fall\":2000000,"
             + "\"must_ask_in\":1000000,\"tip_multiple\":3.0,\"warm_within\":24000000},\"locality\":\"a\",\"me\":0,"
             + "\"registry_mode\":\"on_request\",\"tenants\":[{\"name\":\"acme\",\"fraction\":1.0,"
@@ -317,7 +320,8 @@
             Tally tally = config.tally();
             admin = config.admin() == null ? null : Admin.open(config.admin(), adminLoop, life, tally);
             PrintStream out = new PrintStream(log, true, StandardCharsets.UTF_8);
-            server = Main.createServer(config, loop, () -> System.nanoTime() + clockAdvance.get(), life, tally, out::println);
+            server = Main.createServer(config, loop, () -> System.nanoTime() + clockAdvance.get(), life, tally,
+                    out::println);
             Main.awaitFirstList(server.gateway(), TimeUnit.SECONDS.toMillis(WAIT_SECONDS));
             Main.listen(server, config, inherited, loop, life, out::println);
         }
--- a/src/test/java/mastdrift/net/ServingTest.java
+++ b/src/test/java/mastdrift/net/ServingTest.java
@@ -66,8 +66,10 @@
     /** HTTP/1.1 allows the absolute form for the target of any request; hosts are sent the origin form. */
     @Test
     void acceptsTargetInAbsoluteForm() throws Exception {
-        try (Server discovery = discoveryServer(); Server host = hostResponding("ok"); GatewayNode node = startNode(discovery, inService("s1", host))) {
-            assertEquals(200, node.sendRequest(post("once", 20_000, "x").replace("/api/x", "HTTP://s:80/api/x")).status());
+        try (Server discovery = discoveryServer(); Server host = hostResponding("ok");
+                GatewayNode node = startNode(discovery, inService("s1", host))) {
+            assertEquals(200, node.sendRequest(post("once", 20_000, "x").replace("/api/x", "HTTP://s:80/api/x"))
+                    .status());
             assertEquals("POST /api/x?y=1%20z HTTP/1.1", await(host.received).startLine());
             assertEquals(200, node.sendRequest("GET http://s/ready HTTP/1.1\r\nHost: s\r\n\r\n").status());
         }
@@ -96,7 +98,8 @@
     void retriesRequestThatHostDidNotStart(String firstReaction) throws Exception {
         AtomicInteger count = new AtomicInteger();
         try (Server discovery = discoveryServer(); Server one = new Server(failingFirst(count, firstReaction));
-                Server two = new Server(failingFirst(count, firstReaction)); GatewayNode node = startNode(discovery, inService("s1", one), inService("s2", two))) {
+                Server two = new Server(failingFirst(count, firstReaction));
+                GatewayNode node = startNode(discovery, inService("s1", one), inService("s2", two))) {
             assertEquals("late", node.sendRequest(post("once", 20_000, "x")).bodyText());
             assertEquals(2, count.get());
         }
@@ -122,7 +125,8 @@
     void doesNotRetryRequestThatMayHaveRun(String firstReaction) throws Exception {
         AtomicInteger count = new AtomicInteger();
         try (Server discovery = discoveryServer(); Server one = new Server(failingFirst(count, firstReaction));
-                Server two = new Server(failingFirst(count, firstReaction)); GatewayNode node = startNode(discovery, inService("s1", one), inService("s2", two))) {
+                Server two = new Server(failingFirst(count, firstReaction));
+                GatewayNode node = startNode(discovery, inService("s1", one), inService("s2", two))) {
             assertEquals(502, node.sendRequest(post("once", 20_000, "x")).status());
             assertEquals(1, count.get());
         }
@@ -182,13 +186,15 @@
 
     @Test
     void answersPipelinedRequestsInOrder() throws Exception {
-        try (Server discovery = discoveryServer(); Server host = hostResponding("ok"); GatewayNode node = startNode(discovery, inService("s1", host))) {
+        try (Server discovery = discoveryServer(); Server host = hostResponding("ok");
+                GatewayNode node = startNode(discovery, inService("s1", host))) {
             Socket client = node.connect();
             write(client, read(20_000) + "GET /none HTTP/1.1\r\n\r\n" + post("start", 20_000, "x"));
             assertEquals(200, Loopback.read(client).status());
             assertEquals(404, Loopback.read(client).status());
             assertEquals(200, Loopback.read(client).status());
-            assertTrue(await(host.received).startLine().startsWith("GET") && await(host.received).startLine().startsWith("POST"));
+            assertTrue(await(host.received).startLine().startsWith("GET")
+                    && await(host.received).startLine().startsWith("POST"));
         }
     }
 
@@ -214,7 +220,8 @@
         "400 | GET /api HTTP/1.1~X-Trace-Id: 1~X-Qos: read~X-Customer: acme~X-Expires-In-Ms: -9",
         "200 | GET /ready HTTP/1.1"})
     void rejectsInvalidRequestWithItsStatus(int status, String request) throws Exception {
-        try (Server discovery = discoveryServer(); Server host = hostResponding("ok"); GatewayNode node = startNode(discovery, inService("s1", host))) {
+        try (Server discovery = discoveryServer(); Server host = hostResponding("ok");
+                GatewayNode node = startNode(discovery, inService("s1", host))) {
             Message answer = node.sendRequest(request.replace("~", "\r\n") + "\r\n\r\n");
             assertEquals(status, answer.status());
             assertNull(host.received.peek());
@@ -228,7 +235,8 @@
         "Content-Length: 5~Content-Length: 6~~12345", "Content-Length: -1~~", "Content-Length: 99999999999999999999~~",
         "Transfer-Encoding: chunked~~zz~~", "Content-Length : 5~~12345"})
     void doesNotForwardRequestWithAmbiguousEnd(String rest) throws Exception {
-        try (Server discovery = discoveryServer(); Server host = hostResponding("ok"); GatewayNode node = startNode(discovery, inService("s1", host))) {
+        try (Server discovery = discoveryServer(); Server host = hostResponding("ok");
+                GatewayNode node = startNode(discovery, inService("s1", host))) {
             Socket client = node.connect();
             String head = post("once", 20_000, "").replaceFirst("Content-Length.*(?s:.*)", "");
             write(client, head + rest.replace("~", "\r\n") + read(20_000));
@@ -240,7 +248,8 @@
 
     @Test
     void rejectsGetWithBody() throws Exception {
-        try (Server discovery = discoveryServer(); Server host = hostResponding("ok"); GatewayNode node = startNode(discovery, inService("s1", host))) {
+        try (Server discovery = discoveryServer(); Server host = hostResponding("ok");
+                GatewayNode node = startNode(discovery, inService("s1", host))) {
             Message answer = node.sendRequest(read(20_000).replace("\r\n\r\n", "\r\nContent-Length: 1\r\n\r\nx"));
             assertEquals(400, answer.status());
             assertNull(host.received.peek());
@@ -268,7 +277,8 @@
     @ParameterizedTest
     @ValueSource(strings = {"", "GET /api HT", "POST /api HTTP/1.1~Content-Length: 99~~part"})
     void closesConnectionOfRequestThatIsTooSlow(String part) throws Exception {
-        try (Server discovery = discoveryServer(); Server host = hostResponding("ok"); GatewayNode node = startNode(discovery, inService("s1", host))) {
+        try (Server discovery = discoveryServer(); Server host = hostResponding("ok");
+                GatewayNode node = startNode(discovery, inService("s1", host))) {
             Socket client = node.connect();
             write(client, part.replace("~", "\r\n"));
             assertEquals(-1, client.getInputStream().read());
