--- a/src/main/java/mastdrift/net/Gateway.java
+++ b/src/main/java/mastdrift/net/Gateway.java
@@ -451,9 +451,9 @@
         Exchange exchange = exchanges.get(id);
         checkClientConnected(exchange);
         int number = exchange.attempts.size();
-        boolean sendable = exchange.ended || exchange.requestStreaming || number >= settings.limits().maxAttempts();
+        boolean rejected = exchange.ended || exchange.requestStreaming || number >= settings.limits().maxAttempts();
         FullHttpRequest request = upstreamRequest(exchange);
-        exchange.attempts.add(hostPool.send(hostId, request, exchange.bodyRelay, sendable ? 0 : timeout,
+        exchange.attempts.add(hostPool.send(hostId, request, exchange.bodyRelay, rejected ? 0 : timeout,
                 new AttemptHandler(exchange, number, hostId)));
         exchange.unresolvedAttempts++;  // not before: a send that threw an exception has no outcome
     }
