--- a/src/main/java/mastdrift/net/ConnectionLimit.java
+++ b/src/main/java/mastdrift/net/ConnectionLimit.java
@@ -11,7 +11,7 @@
 
 /** Limits the number of client connections and chooses which one is closed when the limit is exceeded: first those in a
     lingering close, then those that never sent a request, then the longest idle, then the newest connection itself, and
-    last those that are sending a request. Connections with a request in progress are not closed. Used on one event
+    last those that are sending a request. Connections whose request is being handled are not closed. Used on one event
     loop's thread.
 
     @param <C> a client's connection */
@@ -45,7 +45,7 @@
     private final LinkedHashSet<C> withoutRequest = new LinkedHashSet<>();
     private final LinkedHashSet<C> idle = new LinkedHashSet<>();  // longest idle first
     private final LinkedHashSet<C> lingering = new LinkedHashSet<>();  // in a lingering close, oldest first
-    private final Set<C> notYetRead = new HashSet<>();
+    private final Set<C> notYetRead = new HashSet<>();  // their first input may wait in the socket
     private C newest;  // null if that one has been closed
     private boolean enforcing;
     private boolean accepting = true;
@@ -72,11 +72,12 @@
         return List.copyOf(all);
     }
 
-    /** Connections without a request in progress, beginning with those that never sent one, oldest first. */
+    /** Connections that have no request being handled, beginning with those that never sent one, oldest first. */
     List<C> awaitingRequest() {
         return Stream.concat(withoutRequest.stream(), idle.stream()).toList();
     }
 
+    /** Whether no whole request has been read on the connection yet. */
     boolean hasSentNoRequest(C connection) {
         return withoutRequest.contains(connection);
     }
@@ -109,7 +110,7 @@
         idle.remove(connection);
     }
 
-    /** The connection has no request in progress and waits for the next. */
+    /** The connection's requests have been answered and it waits for the next. */
     void becameIdle(C connection) {
         idle.add(connection);
         enforce();
@@ -165,7 +166,7 @@
         }
     }
 
-    /** The connection to close next; null if all have requests in progress. */
+    /** The connection to close next; null if all have requests that are being handled. */
     private C nextToEvict() {
         C oldestSending = null;  // first connection that is sending a request
         for (Set<C> group : List.of(withoutRequest, idle)) {
--- a/src/main/java/mastdrift/net/DownstreamServer.java
+++ b/src/main/java/mastdrift/net/DownstreamServer.java
@@ -105,7 +105,7 @@
     private final Set<String> openTraceIds = new HashSet<>();  // trace ids of requests without a response
     private TcpServerChannel serverChannel;
     private boolean sweepScheduled;
-    private boolean accepting = true;
+    private boolean accepting = true;  // false once a successor process accepts
     private boolean socketInherited;  // a successor process accepts from the same socket
     private boolean closeAfterResponse;  // each response closes its connection
     private boolean drained;  // clients have had the time to leave: idle connections are closed soon
@@ -176,6 +176,7 @@
         gateway.eventLog().add(EventLog.Event.ACCEPT_FAILED, "cause", cause);
     }
 
+    /** The sizes of reads on connections with clients and hosts. */
     static AdaptiveRecvByteBufAllocator receiveBufferAllocator() {
         return new AdaptiveRecvByteBufAllocator(256, 2048, 16 << 10);
     }
@@ -272,6 +273,7 @@
                 .forEach(ClientConnection::closeGracefully);
     }
 
+    /** Periodic checks: the event loop's lateness, connections that no selector event has announced, and timeouts. */
     private void sweep() {
         LoopMonitor monitor = gateway.loopMonitor();
         monitor.look();
@@ -290,9 +292,11 @@
         }
     }
 
-    /** Why a connection was closed before all requests on it were answered. */
+    /** Why a connection was closed before all requests on it were answered; written to the log under these names.
+        CLIENT: the client closed it, or it failed. REQUEST_BROKEN: the rest of a long body could not be decoded.
+        ANSWER_BROKEN: a response that was being streamed could not be completed. ANSWER_NOT_TAKEN: the client did not
+        read its response. MADE_ROOM: closed for the connection limit. FAULT: an unexpected exception. */
     private enum CloseReason {
-        /** The client closed it, or it failed. */
         CLIENT, REQUEST_TOO_SLOW, REQUEST_BROKEN, ANSWER_BROKEN, ANSWER_NOT_TAKEN, MADE_ROOM, FAULT
     }
 
@@ -334,7 +338,7 @@
         private BodyRelay outgoingBody;  // of the response that is being written
         private boolean continueExpected;  // the client waits for a 100 response before it sends the body
         private Gateway.Exchange exchange;
-        private String traceId;
+        private String traceId;  // of the current request once it is submitted
         private boolean requestRead;  // since the last channelReadComplete
         private boolean requestSubmitted;  // at least one request was submitted to the gateway
         private boolean outputShutDown;  // no further requests are handled
@@ -582,6 +586,7 @@
             return path < 0 ? "/" : uri.substring(path);
         }
 
+        /** Validates a request and submits it to the gateway; {@code waited} is the time since it arrived. */
         private void submit(FullHttpRequest request, long waited) {
             HttpHeaders headers = request.headers();
             RequestClass requestClass = requestClasses.get(headers.get("X-Qos", ""));
--- a/src/main/java/mastdrift/net/Gateway.java
+++ b/src/main/java/mastdrift/net/Gateway.java
@@ -79,7 +79,7 @@
         private final FullHttpRequest request;
         private final String traceId;
         private final BodyRelay bodyRelay;  // the rest of the body, null if the request is complete
-        private final long timeBudget;
+        private final long timeBudget;  // from the last byte of the request, in microseconds
         private long clientCheckedAt = now();  // when the connection was last checked for a disconnect
         private final List<HostPool.Attempt> attempts = new ArrayList<>(2);
         private Future<?> deadlineTimer;
@@ -164,7 +164,7 @@
     private final CompletableFuture<Void> firstListReceived = new CompletableFuture<>();
     private boolean dispatching;
     private long nextRequestId = 1;
-    private long answerDeadline = Long.MAX_VALUE;
+    private long answerDeadline = Long.MAX_VALUE;  // for all requests, set when the process is about to end
     private int openRequests;
     private int incompleteRequests;  // of the open requests, those whose body has not arrived yet
     private final LongSupplier nanoTime;
@@ -272,6 +272,8 @@
 
     // ---- events: dispatched one after the other, never nested
 
+    /** Passes an event to the balancer with the time, at once or after the current event. An exception in it fails the
+        exchange, if one is given. */
     private void dispatch(Exchange exchange, LongConsumer event) {
         if (!loop.inEventLoop()) {
             tally.add(Tally.Count.OFF_LOOP);
@@ -378,6 +380,7 @@
                 "attempts", exchange.attempts.size(), "late_us", Math.max(0, now() - exchange.deadline));
     }
 
+    /** Ends a request: cancels its timer and releases what is held for it. Its attempts may still be running. */
     private void finish(Exchange exchange) {
         exchange.ended = true;
         exchange.deadlineTimer.cancel(false);
--- a/src/main/java/mastdrift/net/Main.java
+++ b/src/main/java/mastdrift/net/Main.java
@@ -89,14 +89,14 @@
             Throwable cause = e instanceof CompletionException ? e.getCause() : e;
             LogWriter errors = LogWriter.to(FileDescriptor.err, () -> { });
             errors.accept("can't start: " + cause.getMessage());
-            end(errors, 2);  // no requests to finish
+            halt(errors, 2);  // no requests to finish
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
     /** Halts the process with that status once the log is written, or its output has taken nothing for a moment. */
-    private static void end(LogWriter log, int status) {
+    private static void halt(LogWriter log, int status) {
         try {
             log.flush(LOG_FLUSH_TIMEOUT_MILLIS);
         } catch (InterruptedException e) {
@@ -241,6 +241,6 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        end(log, 0);
+        halt(log, 0);
     }
 }
--- a/src/main/java/mastdrift/net/ReadAheadHandler.java
+++ b/src/main/java/mastdrift/net/ReadAheadHandler.java
@@ -16,14 +16,14 @@
     before work is done for a client that has gone. Input that a turn of the event loop reads is delivered after the
     turn's events, so that a disconnect that was read in the same turn comes first; {@link #receiveBufferAllocator}
     makes the turn read that far. While the receiver pauses, reading goes on for as long as a disconnect is relevant,
-    and the input is buffered here in bounded memory. The first handler of a pipeline; used on its loop's thread alone.
-    */
+    and the input is buffered here in bounded memory. The first handler of a pipeline; used on its loop's thread. */
 final class ReadAheadHandler extends ChannelInboundHandlerAdapter {
 
     // Once this much has been read, it is delivered before more is read.
     private static final int MAX_TURN_BYTES = 32 << 10;
     // Reads of one connection in a turn: a client that keeps sending small pieces must not occupy the loop.
     private static final int MAX_TURN_READS = 16;
+    // By this time the loop's next turn has read further input.
     private static final long NEXT_TURN_MILLIS = 1;
     // By this time the selector has processed that the socket is not to be watched.
     private static final long SELECTOR_REARM_MILLIS = 1;
@@ -52,10 +52,10 @@
     private final Queue<ByteBuf> buffers = new ArrayDeque<>();
     private ChannelHandlerContext context;
     private int bufferedBytes;  // capacity of the buffers
-    private boolean paused;
-    private boolean discarding;
+    private boolean paused;  // delivery is paused
+    private boolean discarding;  // input is read and released
     private boolean deliveryScheduled;
-    private boolean rearmingSelector;
+    private boolean rearmingSelector;  // reading is off for a moment, so that the selector registers it anew
     private boolean selectorNotified;  // the selector has reported input since reading last began
     private int readsThisTurn;  // in this turn of the loop
     private long lastReadAt;  // the last time that input arrived
--- a/src/main/java/mastdrift/net/RequestReadTimer.java
+++ b/src/main/java/mastdrift/net/RequestReadTimer.java
@@ -6,15 +6,14 @@
     read does not count. All times are in microseconds on the gateway's clock. */
 final class RequestReadTimer {
 
-    /** Limit for the head of a request, from its first byte or, for the first request on a connection, from connecting.
-        */
+    /** Limit for the head of a request, from its first byte or, for a connection's first request, from connecting. */
     static final long HEAD_TIMEOUT_MICROS = 2_600_000;
     // Half of the rate at which clients send, 64 kB a second, is accepted; so is a pause of this length.
     private static final double BODY_MICROS_PER_BYTE = 1e6 / 32_000;
     private static final long BODY_STALL_TIMEOUT_MICROS = 2_000_000;
 
     private long startedAt;  // time of the request's first byte, 0 while no request is being read
-    private long lastReadAt;
+    private long lastReadAt;  // when input last arrived, or reading continued after a pause
     private long pausedAt;  // 0 while reading is not paused
 
     /** Whether a request has been read in part. */
@@ -22,6 +21,7 @@
         return startedAt != 0;
     }
 
+    /** Starts the timer for a new request; does nothing if it is running. */
     void start(long now) {
         startedAt = startedAt == 0 ? now : startedAt;
     }
--- a/src/main/java/mastdrift/net/TcpChannel.java
+++ b/src/main/java/mastdrift/net/TcpChannel.java
@@ -37,8 +37,7 @@
         super(parent, accepted);
     }
 
-    /** Creates the channel of an accepted connection; if that fails, closes the connection and throws ChannelException.
-        */
+    /** Creates an accepted connection's channel; if that fails, closes the connection and throws ChannelException. */
     static TcpChannel adopt(Channel parent, SocketChannel connection) throws IOException {
         for (int tries = 1; true; tries++) {
             try {
--- a/src/main/java/mastdrift/net/TcpServerChannel.java
+++ b/src/main/java/mastdrift/net/TcpServerChannel.java
@@ -33,19 +33,19 @@
     private final Consumer<Exception> onFailure;
     private final LongConsumer onAcceptEnded;
     private boolean acceptingRequested = true;
-    private boolean backingOff;
-    private boolean rearmingSelector;
+    private boolean backingOff;  // accepting is paused after a failed call
+    private boolean rearmingSelector;  // accepting is off for a moment, so that the selector registers it anew
     private boolean selectorNotified;  // the selector has reported a connection since accepting last began
     private boolean polling;  // accepting without a report of the selector
-    private long polledAt;
+    private long polledAt;  // the last call of pollUnlessNotified
     private boolean queueNotEmpty;  // the last accept call found a connection, so more may follow
     private boolean mayHaveQueued;  // the queue may hold connections that arrived during a pause
-    private long queuedSince;
+    private long queuedSince;  // when the earliest of these connections may have arrived
 
     /** A socket to be bound. {@code onFailure} receives the exception of each failed accept call; the clock counts
         microseconds from an arbitrary origin. */
     TcpServerChannel(LongSupplier clock, Consumer<Exception> onFailure) {
-        this(clock, onFailure, begunAt -> { });
+        this(clock, onFailure, startedAt -> { });
     }
 
     /** As above; {@code onAcceptEnded} receives, after each round of accept calls, the time at which it started. */
@@ -87,6 +87,7 @@
         config().setAutoRead(accepting);
     }
 
+    /** From now on, connections wait in the queue. */
     private void markPaused() {
         if (!mayHaveQueued) {
             mayHaveQueued = true;
