--- a/src/main/java/mastdrift/net/ListFrames.java
+++ b/src/main/java/mastdrift/net/ListFrames.java
@@ -14,7 +14,7 @@
     boolean ends(byte next) {
         if (next == '\n') {
             if (depth > 0 && empty) {
-                throw new IllegalArgumentException("a list that breaks off");
+                throw new IllegalArgumentException("an incomplete list: empty line within a JSON object");
             }
             empty = true;
             return depth <= 0;
--- a/src/main/java/mastdrift/net/Rehearsal.java
+++ b/src/main/java/mastdrift/net/Rehearsal.java
@@ -37,8 +37,8 @@
 
 /** Warms up the virtual machine: loads and compiles the code on the path of a request before the first one comes. A
     cold virtual machine takes 5 ms of its core for each request at first, so that requests would queue past their
-    deadlines. A second gateway, on the same address and on an event loop that ends with it, serves requests of this
-    class from a stub of the hosts; no real host or discovery is contacted. */
+    deadlines. The requests go to a second gateway, on the same address and on an event loop that ends with it, which
+    sends them to a stub of the hosts; no real host or discovery is contacted. */
 final class Rehearsal {
 
     private static final int REQUESTS = 100;
--- a/src/test/java/mastdrift/net/AdminTest.java
+++ b/src/test/java/mastdrift/net/AdminTest.java
@@ -35,7 +35,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What operators call, and what they are told. */
+/** Tests the requests of operators and the responses to them. */
 class AdminTest {
 
     @TempDir
@@ -54,10 +54,10 @@
 
     private static String figure(Node node, String name) throws Exception {
         return node.call("GET /status/metrics").text().lines().filter(line -> line.startsWith("edge_node_" + name + " "))
-                .map(line -> line.substring(line.lastIndexOf(' ') + 1)).findFirst().orElse("not told");
+                .map(line -> line.substring(line.lastIndexOf(' ') + 1)).findFirst().orElse("missing");
     }
 
-    /** A count follows the answer within half a second: asked for until it is there. */
+    /** Polls a metric until it has that value: it may lag behind the response by half a second. */
     private static void awaitFigure(Node node, String name, String value) throws Exception {
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(Loopback.WAIT_SECONDS);
         for (String got = figure(node, name); !got.equals(value); got = figure(node, name)) {
@@ -76,7 +76,7 @@
         }
     }
 
-    /** Guards against calls that wait for the start's end, or for the clients' loop. */
+    /** Guards against requests that wait for the end of the start, or for the event loop of the clients. */
     @Test
     void callsAreAnsweredBeforeTheStartAndWhileTheGatewayIsBusy() throws Exception {
         try (Server discovery = discovery()) {
@@ -106,7 +106,8 @@
         }
     }
 
-    /** Guards against callers that say nothing or half a call: each gets a close, and a flood keeps no proper one out. */
+    /** Guards against callers that send nothing or half a request: each is closed, and a flood of them blocks no valid
+        request. */
     @Test
     void silentCallersAreClosedAndDoNotKeepOthersOut() throws Exception {
         try (Server discovery = discovery(); Node node = new Node(called(discovery))) {
@@ -140,7 +141,7 @@
         }
     }
 
-    /** Guards against figures that leave out what no host was asked for, or what the client didn't wait for. */
+    /** Guards against metrics without the requests that were sent to no host, or whose client disconnected. */
     @Test
     void refusedAndOpenRequestsAreCounted() throws Exception {
         try (Server discovery = discovery(); Server silent = new Server(message -> { });
@@ -173,8 +174,8 @@
         }
     }
 
-    /** Guards against a drain that loses what comes, or holds clients here: an answer says when to leave, what nobody
-        asks on is closed, and the way back needs no restart. */
+    /** Guards against a drain that loses requests or keeps clients: a response tells the client to close, idle
+        connections are closed, and the gateway becomes active again without a restart. */
     @Test
     void aDrainedGatewayServesOpenConnectionsUntilTheyAreClosedAndComesBack() throws Exception {
         try (Server discovery = discovery(); Server one = host("one"); Node node = new Node(called(discovery, one))) {
@@ -207,7 +208,7 @@
         }
     }
 
-    /** Guards against calls that cross a start or a stop and turn it round. */
+    /** Guards against a standby request during the start that is lost, and against a request that undoes a stop. */
     @Test
     void aStandbyDuringTheStartHoldsAndNothingComesBackFromAStop() {
         Life life = new Life();
--- a/src/test/java/mastdrift/net/DialerTest.java
+++ b/src/test/java/mastdrift/net/DialerTest.java
@@ -20,6 +20,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
+/** Tests that results of connecting are reported on the event loop, and which failures count as local. */
 class DialerTest {
 
     private record Told(Throwable cause, boolean onLoop) { }
@@ -42,7 +43,7 @@
                         told.complete(new Told(cause, loop.inEventLoop()));
                     }
                 });
-                assertFalse(told.isDone(), "told within the call");
+                assertFalse(told.isDone(), "reported before connect returned");
                 if (!dialled.isOpen()) {
                     Dialer.close(dialled);
                 }
@@ -53,7 +54,7 @@
         }
     }
 
-    /** As where the process has no descriptor left. */
+    /** The channel can't be created, as when the process has no descriptor left. */
     @Test
     void thatNoSocketCanBeMadeIsToldOnTheEventLoop() throws Exception {
         Told told = dial(() -> {
--- a/src/test/java/mastdrift/net/HostPoolTest.java
+++ b/src/test/java/mastdrift/net/HostPoolTest.java
@@ -31,7 +31,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Connections to hosts, on a clock that the test moves. */
+/** Tests the pool of connections to hosts, on a clock that the test sets. */
 class HostPoolTest {
 
     private static final long DIAL = 20_000_000;
@@ -96,7 +96,7 @@
         assertEquals(1, one.accepted.size());
     }
 
-    /** Guards against two processes that hold more connections together than one may. */
+    /** Guards against a gateway and its successor that together hold more connections than one may. */
     @Test
     void whoLeavesBesideASuccessorKeepsNoIdleConnections() throws Exception {
         HostPool pool = pool(10);
@@ -110,7 +110,7 @@
         assertEquals(Outcome.DELIVERED, outcome(pool, "s1"));
     }
 
-    /** Guards against a request that meets a host's closing of an idle connection, which ends as a reset. */
+    /** Guards against a request on an idle connection that the host is about to close, which ends with a reset. */
     @Test
     void anAgedIdleConnectionIsNotUsedAgain() throws Exception {
         HostPool pool = pool(10);
@@ -132,7 +132,7 @@
         assertNotNull(await(one.ended));
     }
 
-    /** Guards against a send after the grace by an attempt that waited for its connection meanwhile. */
+    /** Guards against a request that is sent after the drain grace since it waited for its connection meanwhile. */
     @Test
     void anAttemptThatWaitsForAConnectionEndsWithTheGrace() throws Exception {
         HostPool pool = pool(10);
@@ -159,7 +159,7 @@
         assertEquals(1, one.received.size());
     }
 
-    /** Guards the bound on descriptors: idle connections make room, those in use stay. */
+    /** Guards against exceeding the bound of connections: idle ones are closed to make room, those in use are kept. */
     @Test
     void atTheBoundTheEldestIdleConnectionMakesRoom() throws Exception {
         HostPool pool = pool(1);
@@ -197,7 +197,8 @@
         return pool;
     }
 
-    /** Guards against an answer that is taken for the next request's: what comes behind one ends the connection. */
+    /** Guards against data behind a response that is taken for the response to the next request: it ends the
+        connection. */
     @ParameterizedTest
     @ValueSource(strings = {"HTTP/1.1 200 OK~Content-Length: 1~~1", "noise", "HTTP/1.1 200 OK~Content-Length: 9~~"})
     void aConnectionOnWhichMoreCameIsNotUsedAgain(String more) throws Exception {
@@ -209,7 +210,7 @@
         }
     }
 
-    /** The same for what comes later, while no request is out. */
+    /** Guards against the same where the data arrives later, while the connection is idle. */
     @Test
     void aByteOnAnIdleConnectionClosesIt() throws Exception {
         try (Server host = host("1")) {
@@ -221,8 +222,8 @@
         }
     }
 
-    /** Guards against a second answer that comes some milliseconds late and passes for that to the next request: where a host
-        has been seen to send what nobody asked for, its connections rest behind each answer. */
+    /** Guards against a second response that arrives some milliseconds later and is taken for the response to the next
+        request: connections to a host that has sent unexpected data are reused only after a delay. */
     @Test
     void whereAStrayWasSeenConnectionsRestBehindAnAnswer() throws Exception {
         try (Server host = host("1")) {
@@ -241,8 +242,9 @@
         }
     }
 
-    /** Guards against a request that waits its whole time for an answer that won't end, and against one that is served
-        with what can't be told from a part of an answer: each may have run, and the connection is of no further use. */
+    /** Guards against a request that waits until its deadline for the end of an invalid response, and against one that
+        is served with a response that may be incomplete. Each may have run on the host, and the connection can't be
+        reused. */
     @ParameterizedTest
     @ValueSource(strings = {"noise~~", "HTTP/1.1 2x0 OK~Content-Length: 1~~1", "ICY 200 OK~Content-Length: 1~~1",
         "HTTP/1.1 200 OK~no colon here~Content-Length: 1~~1", "HTTP/1.1 200 OK~Content-Length: 9~~part",
@@ -281,7 +283,8 @@
         }
     }
 
-    /** Guards against a request that reaches the old address of a host that has moved, which may be another by now. */
+    /** Guards against a request that is sent to the old address of a host that has moved, which may be another host's
+        now. */
     @Test
     void aConnectionToWhereAHostWasIsNotUsedAgain() throws Exception {
         try (Server old = new Server(message -> { })) {
@@ -299,7 +302,7 @@
         }
     }
 
-    /** Guards against a bound that failed dials use up. */
+    /** Guards against failed connection attempts that use up the bound of connections. */
     @Test
     void aFailedDialFreesItsPlace() throws Exception {
         HostPool pool = pool(1);
--- a/src/test/java/mastdrift/net/HostStartsTest.java
+++ b/src/test/java/mastdrift/net/HostStartsTest.java
@@ -4,7 +4,8 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The gateway's clock begins with the Unix time and runs on; the machine's may be stepped. */
+/** Tests the conversion of host start times. The gateway's clock starts at the Unix time and is steady; the machine's
+    clock may be stepped. */
 class HostStartsTest {
 
     private static final long SECOND = 1_000_000;
@@ -27,14 +28,15 @@
         assertEquals(0, contradictions);
     }
 
-    /** Machines that start behind the step tell it by the clock as it is then, or by one that was not stepped. */
+    /** Hosts that start after the step report it by the stepped clock, or by a clock of their own that was not
+        stepped. */
     @Test
     void behindAStepAColdHostIsNotTakenForAWarmOne() {
         for (long by : new long[] {HOUR, -HOUR, 60 * SECOND, -60 * SECOND, 2 * SECOND, -2 * SECOND}) {
             step = by;
             assertEquals(SECOND, ageOf("stepped" + by, now + step - SECOND), "stepped by " + by);
             long age = ageOf("steady" + by, now - SECOND);
-            assertEquals(SECOND, age, "not stepped, ours by " + by);
+            assertEquals(SECOND, age, "host clock not stepped, own clock stepped by " + by);
         }
     }
 
@@ -49,7 +51,7 @@
         assertEquals(placed, starts.place("a", told));
     }
 
-    /** The clock was an hour ahead already when the gateway began: what is new in a list looks old. */
+    /** The gateway's clock was an hour ahead when it started, so that a new host in a list looks an hour old. */
     @Test
     void whatIsNewInAListAndLooksOldCountsAsJustStarted() {
         assertEquals(HOUR, ageOf("there-before", now - HOUR));
@@ -69,7 +71,7 @@
         assertEquals(1, contradictions);
     }
 
-    /** A host that was taken off the list and is back with the start of before has not started anew. */
+    /** A host that was taken off the list and returns with the same start time has not restarted. */
     @Test
     void whoComesBackWithTheSameStartKeepsIt() {
         long told = now - HOUR;
--- a/src/test/java/mastdrift/net/LifeModelTest.java
+++ b/src/test/java/mastdrift/net/LifeModelTest.java
@@ -7,14 +7,14 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 
-/** Every order of what can come to a life cycle, up to eight of them, against what the page for staff says. */
+/** Model test of the lifecycle: every sequence of up to eight calls, against the rules of the operations manual. */
 class LifeModelTest {
 
     private static final int DEPTH = 8;
 
     private enum Event { STARTED, STANDBY, ACTIVE, STOP }
 
-    /** The page, as a rule: a stop is for good, a standby of any time holds until the next call, a start comes once. */
+    /** The model: a stop is final, the latest call of standby or active holds whenever it came, a start comes once. */
     private static Life.State expected(List<Event> path) {
         if (path.contains(Event.STOP)) {
             return Life.State.STOPPING;
@@ -47,7 +47,7 @@
         }
         assertEquals(expected(path), life.state(), path.toString());
         assertEquals(expected(path) == Life.State.ACTIVE, life.ready(), path.toString());
-        assertEquals(calls, told.get(), "told of changes: " + path);
+        assertEquals(calls, told.get(), "notifications: " + path);
         int count = 1;
         for (Event next : Event.values()) {
             if (path.size() < DEPTH && !(next == Event.STARTED && path.contains(Event.STARTED))) {
--- a/src/test/java/mastdrift/net/LifeTest.java
+++ b/src/test/java/mastdrift/net/LifeTest.java
@@ -49,7 +49,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A gateway's life: its start, what discovery tells it, its bounds, and its stop. */
+/** Tests a gateway's start, its host lists from discovery, its limits, its reloads and its stop. */
 class LifeTest {
 
     private static final int LIFE_SECONDS = 60;
@@ -61,7 +61,7 @@
         return entry(uid, host.address(), "a", "in_service");
     }
 
-    /** Asks until the answers come from the host that discovery told of. */
+    /** Sends requests until a response has that body, which names the host. */
     private static void awaitBody(Node node, String body) throws IOException {
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(Loopback.WAIT_SECONDS);
         Socket client = node.connect();
@@ -71,8 +71,8 @@
         }
     }
 
-    /** Guards against requests that a new process serves by the list of before its start, in the moment between its first
-        client and its first list: where lists are pushed, what they say counts from the start of the process on. */
+    /** Guards against a new process that serves clients by an outdated host list before the first list from discovery:
+        where lists are pushed, the gateway has to obey them from its start on. */
     @Test
     void aNewProcessHearsOfADrainBeforeItsFirstClient() throws Exception {
         try (Server one = host("one"); Server two = host("two"); Server discovery = new Server(message -> {
@@ -90,8 +90,8 @@
         }
     }
 
-    /** Guards against lists that are never learned since they come indented, or in pieces cut anywhere; a list that breaks
-        off is noticed by the next sign of life, and asked for again. */
+    /** Guards against lists that are ignored since they are indented or arrive in pieces cut anywhere. An incomplete
+        list is detected by the empty line after it, and requested again. */
     @ParameterizedTest
     @ValueSource(ints = {1, 7, 1_000_000})
     void aWatchMayComeIndentedAndInPieces(int piece) throws Exception {
@@ -101,7 +101,7 @@
             String indented = list(7, false, entry("s1", one.address(), "a", "terminating"), up("s}\\\"{2", two))
                     .replace("{", "{\n  ").replace("},", "},\r\n  ").replace("]", "\n ]").replace("s}\\\"{\n  2", "s}\\\"{2");
             String lines = "\n" + indented + "\n\n" + list(8, false) + "\n";
-            synchronized (watch.socket()) {  // behind the head of the answer
+            synchronized (watch.socket()) {  // after the head of the response
                 for (int from = 0; from < lines.length(); from += piece) {
                     String next = lines.substring(from, Math.min(lines.length(), from + piece));
                     write(watch.socket(), Integer.toHexString(next.length()) + "\r\n" + next + "\r\n");
@@ -114,8 +114,8 @@
         }
     }
 
-    /** Guards against a list that stays old after a watch broke: in all these ways it is asked for again, from the
-        version that came last. */
+    /** Guards against a host list that stays outdated after a watch has failed in one of these ways: it is watched
+        again from the last revision received. */
     @ParameterizedTest
     @ValueSource(strings = {"end", "odd", "silence"})
     void aWatchThatBreaksIsResumed(String how) throws Exception {
@@ -137,8 +137,8 @@
         }
     }
 
-    /** Guards against a call that never ends since bytes trickle in, none of which ends a list: what binds it is the time
-        since its beginning. */
+    /** Guards against a watch that never times out since bytes trickle in without ending a list: the time limit counts
+        from its start. */
     @ParameterizedTest
     @ValueSource(strings = {"GET", "{\"rev\":2,"})
     void aCallThatTricklesEndsAllTheSame(String first) throws Exception {
@@ -146,7 +146,7 @@
             write(message.socket(), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
             String begun = first.equals("GET") ? "" : Integer.toHexString(first.length()) + "\r\n" + first + "\r\n";
             write(message.socket(), begun);
-            while (true) {  // until the call ends, or the test
+            while (true) {  // until the connection or the test ends
                 Thread.sleep(100);
                 write(message.socket(), "1\r\n \r\n");
             }
@@ -156,7 +156,8 @@
         }
     }
 
-    /** Guards against a drained host that gets requests again by a list of before its drain, which comes whole and late. */
+    /** Guards against a drained host that gets requests again through a complete list of an older revision that arrives
+        late. */
     @Test
     void aListOfAnOlderVersionTakesNothingBack() throws Exception {
         try (Server discovery = discovery(); Server one = host("one"); Server two = host("two");
@@ -167,7 +168,7 @@
             first.socket().close();
             Message next = await(discovery.received);
             tell(next.socket(), list(6, true, up("s1", one)));
-            tell(next.socket(), "{\"rev\":8,");  // which breaks off
+            tell(next.socket(), "{\"rev\":8,");  // an incomplete list
             tell(next.socket(), "");
             assertEquals("GET /v1/endpoints?watch=1&from=7 HTTP/1.1", await(discovery.received).line());
             for (int i = 0; i < 20; i++) {
@@ -176,8 +177,8 @@
         }
     }
 
-    /** Guards against a gateway that hears nothing, and serves nobody, once idle clients have filled its descriptors while
-        discovery was down: those for discovery, for hosts and for the log are kept free. */
+    /** Guards against a gateway that gets no host list and serves nobody once idle clients have used up its descriptors
+        while discovery was down: descriptors for discovery, hosts and the log are reserved. */
     @Test
     void idleClientsThatFillTheDescriptorsKeepNoListFromComing() throws Exception {
         CountDownLatch back = new CountDownLatch(1);
@@ -220,8 +221,8 @@
         }
     }
 
-    /** Guards against sizes that a start's fixed memory can't hold: 1,024 hosts and as many gateways, by the flags of
-        {@code run}. */
+    /** Guards against memory limits that are too small for 1,024 hosts and as many gateways, with the flags of the
+        deploy file's {@code run}. */
     @Test
     void aThousandHostsAndGatewaysFitIntoTheProgramsMemory() throws Exception {
         try (Server discovery = discovery(); Server one = host("one")) {
@@ -254,7 +255,7 @@
         }
     }
 
-    /** Guards against a stray close: a gateway that can't reach discovery serves by what it knows. */
+    /** Guards against a gateway that serves nobody while discovery is down: it uses the hosts of its configuration. */
     @Test
     void withoutDiscoveryTheKnownListServes() throws Exception {
         Server discovery = discovery();
@@ -265,8 +266,8 @@
         }
     }
 
-    /** Guards against clients within their third of the descriptors that are refused or pushed out: each of them may have
-        a request open, and the program's own files and as many connections to hosts still fit. */
+    /** Guards against clients that are refused or evicted while they use less than a third of the descriptors: each of
+        them may have a request open, beside as many connections to hosts and the program's own files. */
     @ParameterizedTest
     @ValueSource(ints = {256, 384, 1024})
     void clientsMayHoldAThirdOfTheDescriptorsForRequests(int sockets) {
@@ -289,7 +290,7 @@
         }
     }
 
-    /** Guards against a flood of connections that say nothing and push out those that clients use. */
+    /** Guards against a flood of connections without a request that evicts those in use. */
     @Test
     void silentConnectionsMakeRoomFirst() throws Exception {
         try (Server discovery = discovery(); Server one = host("one");
@@ -320,7 +321,8 @@
         }
     }
 
-    /** Guards against requests lost at a planned restart: what was taken is answered, and what still comes too. */
+    /** Guards against requests that are lost at a planned restart: open ones are answered, and so are those that still
+        arrive. */
     @Test
     void aStopFinishesWhatWasTaken() throws Exception {
         CountDownLatch stopped = new CountDownLatch(1);
@@ -343,7 +345,7 @@
                 write(idle, post("once", 20_000, "x").replace("9b1f", "9b20"));
                 return null;
             }).sync();
-            assertEquals("one", Loopback.read(idle).text());  // clients may have no other gateway just now
+            assertEquals("one", Loopback.read(idle).text());  // clients may have no other gateway at the moment
             assertNull(Loopback.read(idle));
             assertNull(Loopback.read(coming));
             write(held.socket(), answer("200 OK", "in time"));
@@ -354,8 +356,8 @@
         }
     }
 
-    /** Guards against requests that the kill finds: with short deadlines it comes before clients' connections were
-        closed at 1.5 s, and what crosses it is lost. Deadlines are in microseconds. */
+    /** Guards against requests that are open when the process is killed: with short deadlines the kill comes before
+        client connections would be closed at 1.5 s. Deadlines are in microseconds. */
     @ParameterizedTest
     @ValueSource(longs = {200_000, 670_000, 2_000_000, 3_000_000, 60_000_000})
     void aStopTakesNothingMoreAndHasAnsweredAllBeforeTheKill(long deadline) {
@@ -368,10 +370,11 @@
         return start(environment, List.of(), List.of(), arguments);
     }
 
-    /** Behind {@code before}, a command that goes on as its arguments; with {@code flags} of the virtual machine. */
+    /** Starts the program through the command {@code before}, which runs its arguments, with {@code flags} of the
+        virtual machine. */
     private Process start(Map<String, String> environment, List<String> before, List<String> flags, String... arguments)
             throws IOException {
-        // Signals as by default: where this suite is run with hang-ups ignored, the program would ignore them as well.
+        // Resets SIGHUP to its default: the program would inherit it as ignored if this suite runs that way.
         ProcessBuilder builder = new ProcessBuilder("env", "--default-signal=HUP");
         builder.command().addAll(before);
         builder.command().add(System.getProperty("java.home") + "/bin/java");
@@ -387,8 +390,8 @@
         return Files.readString(folder.resolve("log"), StandardCharsets.UTF_8);
     }
 
-    /** Guards against a slow first second, in which requests queued past their time, and against a rehearsal that
-        reaches anyone. */
+    /** Guards against a slow first second, in which requests would queue past their deadlines, and against a warm-up
+        that contacts real hosts or discovery. */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void aRehearsalPlaysThroughAndReachesNobody(boolean longToo) throws Exception {
@@ -401,8 +404,9 @@
         }
     }
 
-    /** Guards against a start that loads and checks every class anew, for a third of its time: the build's rehearsal
-        runs with the file given to it, and 'run' maps the archive that the build leaves. */
+    /** Guards against a start that loads and verifies every class again, which takes a third of its time: the build's
+        warm-up runs with the configuration it is given, and {@code run} maps the class archive that the build
+        creates. */
     @Test
     void theBuildsRehearsalEndsAndItsArchiveIsTheOneInUse() throws Exception {
         List<String> deploy = Files.readAllLines(Path.of("deploy/balancer.toml"), StandardCharsets.UTF_8);
@@ -426,7 +430,7 @@
         try (Server discovery = discovery(); Server one = host("one")) {
             Process process = start(environment(folder, discovery, list(1, true, up("s1", one)), SETTINGS));
             try {
-                await(discovery.received);  // it has started
+                await(discovery.received);  // the program has started
                 process.destroy();
                 assertTrue(process.waitFor(LIFE_SECONDS, TimeUnit.SECONDS));
                 assertEquals(0, process.exitValue(), log());
@@ -437,8 +441,8 @@
         }
     }
 
-    /** Guards against clients that a replacement loses: the successor takes who comes, and the old process serves those
-        that it has, tells them to leave, and closes what nobody asks on at last. */
+    /** Guards against clients that are lost at a replacement: the successor accepts new ones; the old process serves
+        its open connections, tells clients to close them, and closes idle ones at last. */
     @Test
     void aSuccessorTakesOverTheListeningSocket() throws Exception {
         try (Server discovery = discovery(); Server one = host("one"); Server two = host("two");
@@ -499,7 +503,7 @@
         }
     }
 
-    /** Guards against a gateway that SIGHUP ends, and against one that goes on asking where discovery no longer is. */
+    /** Guards against a gateway that SIGHUP ends, and against one that keeps using the old address of discovery. */
     @Test
     void sighupMovesDiscovery() throws Exception {
         try (Server discovery = discovery(); Server moved = discovery(); Server one = host("one")) {
@@ -523,7 +527,7 @@
         }
     }
 
-    /** One operators' call to the program that the log tells of. */
+    /** Sends one request to the admin address that the program has logged. */
     private Message call(String line) throws Exception {
         String at = log().lines().filter(l -> l.startsWith("operators may call")).findFirst().orElseThrow();
         try (Socket socket = new Socket("127.0.0.1", Integer.parseInt(at.substring(at.lastIndexOf(':') + 1)))) {
@@ -533,8 +537,8 @@
         }
     }
 
-    /** Guards against parts that work but are not wired up: the program itself answers operators, drains, counts what it
-        is told at a signal, and ends. */
+    /** Guards against parts that work but are not connected in the program: it answers operators, drains, counts
+        reloads, and stops. */
     @Test
     void operatorsMayCallTheProgramFromItsStartToItsStop() throws Exception {
         try (Server discovery = discovery(); Server moved = discovery(); Server one = host("one")) {
@@ -565,8 +569,8 @@
         }
     }
 
-    /** Guards against an old list in the place of a newer one, and against a move that the module takes for a failure:
-        what the old address says late counts for nothing, and an address that isn't up yet is asked again. */
+    /** Guards against an old list that replaces a newer one, and against an address change that is reported as a
+        failure: what the old address still sends is ignored, and a new address that is not up yet is tried again. */
     @Test
     void afterAMoveOnlyTheNewAddressIsHeard() throws Exception {
         AtomicInteger calls = new AtomicInteger();
@@ -596,8 +600,8 @@
         }
     }
 
-    /** Guards against a drain that is missed in two moves of discovery, one right behind the other: what the last address
-        tells counts, also where the one between never answered. */
+    /** Guards against a drain that is missed when the address of discovery changes twice in a row: the list of the last
+        address counts, also where the one between never answered. */
     @Test
     void behindTwoMovesADrainIsHeardFromTheLastAddress() throws Exception {
         try (Server discovery = discovery(); Server between = new Server(message -> { }); Server last = discovery();
@@ -608,7 +612,7 @@
             node.loop.submit(() -> node.clients.gateway().discoverAt(Loopback.at(last))).sync();
             Message watch = await(last.received);
             assertEquals("GET /v1/endpoints?watch=1&from=1 HTTP/1.1", watch.line());
-            tell(watch.socket(), list(7, true, up("s2", two)));  // which leaves out the one that drains
+            tell(watch.socket(), list(7, true, up("s2", two)));  // without the host that drains
             awaitBody(node, "two");
             for (int i = 0; i < 20; i++) {
                 assertEquals("two", node.ask(read(20_000).replace("7f3a", "key" + i)).text());
--- a/src/test/java/mastdrift/net/LogOutputTest.java
+++ b/src/test/java/mastdrift/net/LogOutputTest.java
@@ -27,12 +27,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Real processes whose standard output takes nothing. */
+/** Tests real processes whose standard output accepts nothing. */
 class LogOutputTest {
 
     private static final int LIFE_SECONDS = 60;
     private static final int REQUESTS = 14;
-    // Fills the pipe by bytes, without waiting where it is full.
+    // Fills the pipe byte by byte, without blocking once it is full.
     private static final String FILL = "dd if=/dev/zero of=/dev/stdout oflag=nonblock bs=1 count=4000000 2>/dev/null; ";
 
     @TempDir
@@ -44,7 +44,7 @@
         }
     }
 
-    /** A gateway whose discovery is away, so that it has something to log again and again. */
+    /** Starts a gateway whose discovery is down, so that it keeps logging. */
     private Process start(String before, String redirect, int port, int adminPort, Server host) throws IOException {
         Server away = discovery();
         Map<String, String> environment = new HashMap<>(environment(folder, away,
@@ -68,7 +68,7 @@
         }
     }
 
-    /** Waits until it serves; throws where it does not within the life of a test. */
+    /** Waits until the gateway is ready; fails if it is not within the time limit. */
     private static void awaitReady(int port) throws Exception {
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(LIFE_SECONDS);
         while (System.nanoTime() < until) {
@@ -96,7 +96,7 @@
         assertEquals(0, process.exitValue());
     }
 
-    /** Guards against a gateway that a full pipe stops: at its start, under requests, and at its end. */
+    /** Guards against a gateway that a full pipe blocks: at its start, under requests, or at its stop. */
     @Test
     void aLogThatNobodyReadsHoldsUpNoRequestAndNoStop() throws Exception {
         int port = freePort();
@@ -112,7 +112,7 @@
         }
     }
 
-    /** Guards against a log that stays silent once its reader has come back. */
+    /** Guards against a log that stays silent after its reader has resumed. */
     @Test
     void aReaderThatComesBackGetsTheLog() throws Exception {
         int port = freePort();
@@ -132,7 +132,7 @@
         }
     }
 
-    /** Guards against a gateway that a full disk stops; lines that are lost are counted. */
+    /** Guards against a gateway that a full disk blocks, and against lost lines that are not counted. */
     @Test
     void aLogThatCantBeWrittenHoldsUpNothingAndIsCounted() throws Exception {
         int port = freePort();
--- a/src/test/java/mastdrift/net/LogWriterTest.java
+++ b/src/test/java/mastdrift/net/LogWriterTest.java
@@ -15,7 +15,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 
-/** The log's own thread, its bound, and outputs that block, refuse or take only parts of lines. */
+/** Tests the log writer on outputs that block, fail or accept only parts of lines. */
 class LogWriterTest {
 
     private static final long FLUSH_MILLIS = TimeUnit.SECONDS.toMillis(Loopback.WAIT_SECONDS);
@@ -23,7 +23,7 @@
     private final AtomicInteger dropped = new AtomicInteger();
     private final ByteArrayOutputStream written = new ByteArrayOutputStream();
 
-    /** How an output takes what it is given. */
+    /** The write method of an output. */
     private interface Takes {
         int take(ByteBuffer bytes) throws IOException;
     }
@@ -57,7 +57,8 @@
         return written.toString(StandardCharsets.UTF_8).lines().toList();
     }
 
-    /** Guards against callers that wait for an output that blocks, and against lines that fill the memory meanwhile. */
+    /** Guards against callers that are blocked by the output, and against queued lines that use up the memory
+        meanwhile. */
     @Test
     void linesThatAnOutputDoesNotTakeAreBoundedDroppedAndTold() throws Exception {
         CountDownLatch reader = new CountDownLatch(1);
@@ -85,7 +86,7 @@
         assertEquals("the next", lines().get(kept + 1));
     }
 
-    /** Guards against an end of the log for good, and against lines that run into each other, where a write fails. */
+    /** Guards against a log that ends for good after a failed write, and against lines that run into each other. */
     @Test
     void aLineThatTheOutputRefusesIsToldAndTheNextBeginsAnew() throws Exception {
         AtomicInteger calls = new AtomicInteger();
@@ -106,7 +107,7 @@
         assertEquals(1, dropped.get());
     }
 
-    /** Guards against half lines where the output takes some bytes, or none for a moment. */
+    /** Guards against incomplete lines where the output accepts some bytes, or none for a moment. */
     @Test
     void anOutputMayTakeALineInParts() throws Exception {
         AtomicInteger calls = new AtomicInteger();
--- a/src/test/java/mastdrift/net/LoopMonitorTest.java
+++ b/src/test/java/mastdrift/net/LoopMonitorTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What is told of a late loop, on clocks that the tests move. */
+/** Tests what is logged about a late event loop, on clocks that the test sets. */
 class LoopMonitorTest {
 
     private long now = 1_000_000;
@@ -17,7 +17,8 @@
     private final List<String> log = new ArrayList<>();
     private final LoopMonitor monitor = new LoopMonitor(() -> now, () -> times, tally, new EventLog(() -> now, log::add));
 
-    /** A span passes, and {@code late} on top of it, of which the loop ran and waited for a core for so long. */
+    /** Lets a check interval and {@code late} pass, of which the loop ran for {@code cpu} and waited for a core for
+        {@code runDelay}. */
     private void pass(long late, long cpu, long runDelay) {
         now += LoopMonitor.SPAN_MICROS + late;
         times = times == null ? null
@@ -38,7 +39,7 @@
         assertEquals(0, tally.sum(Tally.Count.LOOP_LATE));
     }
 
-    /** Guards against a process that is starved of its core and looks as if it had been at work, or stuck. */
+    /** Guards against a process that is starved of its core and is reported as busy or blocked. */
     @Test
     void theCauseIsWhatTookMostOfTheTime() {
         monitor.look();
@@ -57,7 +58,7 @@
         assertEquals(1, tally.sum(Tally.Count.LOOP_LATE_BLOCKED));
     }
 
-    /** Guards against a hold-up that lies between two looks, and so makes neither late. */
+    /** Guards against a delay between two checks that goes unnoticed since neither check is late. */
     @Test
     void aTaskThatTookLongIsNamedThoughTheLookIsInTime() {
         monitor.look();
--- a/src/test/java/mastdrift/net/ReloaderTest.java
+++ b/src/test/java/mastdrift/net/ReloaderTest.java
@@ -12,6 +12,7 @@
 import java.util.function.Supplier;
 import org.junit.jupiter.api.Test;
 
+/** Tests the order of concurrent reloads and the retries of a file that can't be read. */
 class ReloaderTest {
 
     private static final InetSocketAddress OLDER = new InetSocketAddress(1);
@@ -20,7 +21,8 @@
     private final List<InetSocketAddress> taken = new ArrayList<>();
     private final List<String> failed = new ArrayList<>();
 
-    /** The handler of the first signal has read the file and rests before it hands over; the second comes meanwhile. */
+    /** Guards against an old configuration that replaces a newer one: the handler of the first signal has read the file
+        and is delayed before it applies the result; the second signal arrives meanwhile. */
     @Test
     void theNewestConfigurationHoldsWhateverOrderHandlersRunIn() throws Exception {
         Queue<InetSocketAddress> file = new ArrayDeque<>(List.of(OLDER, NEWER));
@@ -50,7 +52,7 @@
     private static void await(CountDownLatch latch) {
         try {
             if (!latch.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS)) {
-                throw new AssertionError("nothing came");
+                throw new AssertionError("timed out waiting for the other handler");
             }
         } catch (InterruptedException e) {
             throw new AssertionError(e);
