--- a/src/main/java/mastdrift/net/HostStarts.java
+++ b/src/main/java/mastdrift/net/HostStarts.java
@@ -48,8 +48,8 @@
         this.clockIsOff = clockIsOff;
     }
 
-    /** To be called after each list from discovery: starts that are new in a later list are, but for delays,
-        younger. */
+    /** To be called after each list from discovery: hosts that are new in a later list started after this moment, but
+        for delays. */
     void heard() {
         heard = true;
         heardAt = clock.getAsLong();
--- a/src/main/java/mastdrift/net/LogWriter.java
+++ b/src/main/java/mastdrift/net/LogWriter.java
@@ -22,7 +22,7 @@
 
     /** Bound of the queue, in characters. */
     static final int QUEUE_CHARS_MOST = 256 << 10;
-    private static final int ENTRY_CHARS = 64;  // memory of an entry besides its text, so that empty lines are bounded too
+    private static final int ENTRY_CHARS = 64;  // counted for each line, so that empty lines are bounded too
     private static final long FULL_RETRY_MILLIS = 10;  // pause while a non-blocking output accepts nothing
 
     /** A line to be written, or where the line is null a marker that releases a caller of {@link #flush}. */
--- a/src/main/java/mastdrift/net/Tally.java
+++ b/src/main/java/mastdrift/net/Tally.java
@@ -46,7 +46,7 @@
     }
 
     private static <E extends Enum<E>> Map<E, AtomicLong> zeros(Class<E> type) {
-        Map<E, AtomicLong> zeros = new EnumMap<>(type);  // never changed after this method, so that all threads may read it
+        Map<E, AtomicLong> zeros = new EnumMap<>(type);  // filled only here, so that all threads may read it
         Arrays.stream(type.getEnumConstants()).forEach(each -> zeros.put(each, new AtomicLong()));
         return zeros;
     }
