--- a/src/main/java/mastdrift/net/Admin.java
+++ b/src/main/java/mastdrift/net/AdminServer.java
@@ -33,28 +33,28 @@
 /** HTTP server for operators: state, metrics, standby. It takes one request for each connection. It has an event loop
     of its own, which client load doesn't delay, and few connections: at the bound the oldest one is closed, since a
     proper request takes milliseconds. */
-final class Admin {
+final class AdminServer {
 
     /** Bound of open connections; they come out of the descriptors that the program reserves for itself. */
-    static final int CONNECTIONS_MOST = 12;
+    static final int MAX_CONNECTIONS = 12;
     private static final long CALL_MILLIS = 1500;  // a connection is closed after that time
     private static final int BODY_BYTES_MOST = 4 << 10;  // no request needs a body
 
     private final EventLoop loop;
-    private final Life life;
-    private final Tally tally;
+    private final Lifecycle life;
+    private final GatewayMetrics tally;
     private final Set<Channel> connections = new LinkedHashSet<>();  // oldest first
     private Channel server;
 
-    private Admin(EventLoop loop, Life life, Tally tally) {
+    private AdminServer(EventLoop loop, Lifecycle life, GatewayMetrics tally) {
         this.loop = loop;
         this.life = life;
         this.tally = tally;
     }
 
     /** Starts to listen; throws IllegalArgumentException for an address that can't be listened on. */
-    static Admin open(InetSocketAddress at, EventLoop loop, Life life, Tally tally) {
-        Admin admin = new Admin(loop, life, tally);
+    static AdminServer start(InetSocketAddress at, EventLoop loop, Lifecycle life, GatewayMetrics tally) {
+        AdminServer admin = new AdminServer(loop, life, tally);
         ChannelFuture bound = new ServerBootstrap().group(loop)
                 .channelFactory(() -> new Listener(() -> 0, failure -> { }))
                 .childOption(ChannelOption.TCP_NODELAY, true)
@@ -64,7 +64,7 @@
                     protected void initChannel(Channel channel) {
                         admin.came(channel);
                         channel.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(BODY_BYTES_MOST, true),
-                                admin.new Call());
+                                admin.new RequestHandler());
                     }
                 }).bind(at).awaitUninterruptibly();
         if (!bound.isSuccess()) {
@@ -80,7 +80,7 @@
     }
 
     private void came(Channel channel) {
-        if (connections.size() >= CONNECTIONS_MOST) {
+        if (connections.size() >= MAX_CONNECTIONS) {
             connections.iterator().next().close();
         }
         connections.add(channel);
@@ -89,7 +89,7 @@
     }
 
     /** Answers one request and closes the connection. */
-    private final class Call extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
 
         private boolean answered;
 
@@ -116,8 +116,8 @@
         return switch (new QueryStringDecoder(call.uri()).rawPath()) {
             case "/status" -> asked(call, HttpMethod.GET, this::status);
             case "/status/metrics" -> asked(call, HttpMethod.GET, this::figures);
-            case "/standby" -> asked(call, HttpMethod.POST, () -> turned(life.standby(true)));
-            case "/active" -> asked(call, HttpMethod.POST, () -> turned(life.standby(false)));
+            case "/standby" -> asked(call, HttpMethod.POST, () -> turned(life.setStandby(true)));
+            case "/active" -> asked(call, HttpMethod.POST, () -> turned(life.setStandby(false)));
             default -> text(HttpResponseStatus.NOT_FOUND, "no such call\n");
         };
     }
@@ -137,12 +137,12 @@
     }
 
     private FullHttpResponse status() {
-        return text(life.ready() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE, state());
+        return text(life.isReady() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE, state());
     }
 
     private FullHttpResponse figures() {
-        FullHttpResponse figures = text(HttpResponseStatus.OK, Figures.text(tally));
-        figures.headers().set(HttpHeaderNames.CONTENT_TYPE, Figures.TYPE);
+        FullHttpResponse figures = text(HttpResponseStatus.OK, MetricsExposition.format(tally));
+        figures.headers().set(HttpHeaderNames.CONTENT_TYPE, MetricsExposition.CONTENT_TYPE);
         return figures;
     }
 
--- a/src/main/java/mastdrift/net/ClientSide.java
+++ b/src/main/java/mastdrift/net/ClientSide.java
@@ -74,7 +74,7 @@
     /** Hundreds of connections may each hold a read and a write of this size. */
     static final WriteBufferWaterMark WRITE_SIZES = new WriteBufferWaterMark(16 << 10, 32 << 10);
     private static final long IDLE_MICROS_MOST = 10_000_000;  // connections that nobody asks on any more are not kept for good
-    private static final long SWEEP_SPAN_MICROS = LoopMonitor.SPAN_MICROS;
+    private static final long SWEEP_SPAN_MICROS = LoopMonitor.CHECK_INTERVAL_MICROS;
     // So much may a host be told beyond what is left to the client; the platform's slack is 0.15 s.
     private static final long QUEUED_SLACK_MICROS = 50_000;
     // A drain has 4 s to leave no client here. New connections come until the front has heard: answers tell clients to
@@ -84,13 +84,13 @@
     private static final long DRAINED_IDLE_MICROS_MOST = 250_000;
     private static final String TRACE = "X-Trace-Id";
     private static final String REPEAT_KEY = "Idempotency-Key";
-    private static final String EXPIRES = HostPool.EXPIRES;
+    private static final String EXPIRES = HostConnectionPool.EXPIRES_HEADER;
     // Two of one of these would mean one thing here and may mean another at a host.
     private static final List<String> ONCE = List.of(TRACE, REPEAT_KEY, EXPIRES, "X-Qos", "X-Customer", "X-Object");
 
     private final EventLoop loop;
     private final Gateway gateway;
-    private final Life life;
+    private final Lifecycle life;
     private final Map<String, RequestClass> classes = new HashMap<>();
     private final Set<String> tenants = new HashSet<>();
     private final ConnectionLimit<Connection> connections;
@@ -106,12 +106,12 @@
     private Runnable stopped;
 
     /** Holds about {@code most} connections. */
-    ClientSide(EventLoop loop, Gateway gateway, Settings settings, int most, Life life) {
+    ClientSide(EventLoop loop, Gateway gateway, Settings settings, int most, Lifecycle life) {
         this.loop = loop;
         this.gateway = gateway;
         this.life = life;
         connections = new ConnectionLimit<>(loop, most, this::acceptMore,
-                () -> gateway.tally().add(Tally.Count.CLIENTS_PUSHED_OUT));
+                () -> gateway.tally().increment(GatewayMetrics.Counter.CLIENTS_PUSHED_OUT));
         settings.classes().forEach(type -> classes.put(type.name(), type));
         settings.tenants().stream().map(Tenant::name).forEach(tenants::add);
     }
@@ -158,11 +158,11 @@
     }
 
     private void accepted(long begunAt) {
-        gateway.monitor().ended(LoopMonitor.Task.ACCEPT, begunAt);
+        gateway.monitor().taskEnded(LoopMonitor.Task.ACCEPT, begunAt);
     }
 
     private void acceptFailed(Exception cause) {
-        gateway.tally().add(Tally.Count.ACCEPTS_FAILED);
+        gateway.tally().increment(GatewayMetrics.Counter.ACCEPTS_FAILED);
         gateway.events().add(EventLog.Event.ACCEPT_FAILED, "cause", cause);
     }
 
@@ -190,7 +190,7 @@
 
     /** Hears of a standby and of its end; on the loop, each time that either was asked for. */
     void drainOrNot() {
-        if (life.state() == Life.State.STANDBY && drain == null) {
+        if (life.state() == Lifecycle.State.STANDBY && drain == null) {
             gateway.log("standby");
             drain = loop.schedule(() -> {
                 closing = true;
@@ -199,7 +199,7 @@
                     closeIdle();
                 }, DRAIN_IDLE_MILLIS - DRAIN_CLOSING_MILLIS, TimeUnit.MILLISECONDS);
             }, DRAIN_CLOSING_MILLIS, TimeUnit.MILLISECONDS);
-        } else if (life.state() == Life.State.ACTIVE && drain != null) {
+        } else if (life.state() == Lifecycle.State.ACTIVE && drain != null) {
             gateway.log("active");
             drain.cancel(false);
             drain = null;
@@ -257,14 +257,14 @@
 
     private void closeOverdue() {
         LoopMonitor monitor = gateway.monitor();
-        monitor.look();
-        long now = monitor.begin();
+        monitor.check();
+        long now = monitor.taskStarted();
         if (server != null) {
             server.lookUnwatched();
         }
         connections.all().forEach(connection -> connection.closeOverdue(now));
         connections.keep();  // whose bytes have been looked at since
-        monitor.ended(LoopMonitor.Task.SWEEP, now);
+        monitor.taskEnded(LoopMonitor.Task.SWEEP, now);
     }
 
     private void checkStopped() {
@@ -358,8 +358,8 @@
         @Override
         public void channelActive(ChannelHandlerContext context) {
             connections.came(this);
-            gateway.tally().add(Tally.Count.CLIENTS_CAME);
-            gateway.tally().level(Tally.Level.CLIENT_CONNECTIONS, connections.size());
+            gateway.tally().increment(GatewayMetrics.Counter.CLIENTS_CAME);
+            gateway.tally().recordPeak(GatewayMetrics.Peak.CLIENT_CONNECTIONS, connections.size());
         }
 
         /** Without a word: a 408 might cross a request, and be taken for its answer. */
@@ -411,7 +411,7 @@
                 return;
             }
             if (reason != CloseReason.CLIENT) {
-                gateway.tally().add(Tally.Count.UNANSWERED);
+                gateway.tally().increment(GatewayMetrics.Counter.UNANSWERED);
             }
             gateway.events().add(EventLog.Event.CLIENT_GONE, "trace", id, "reason", reason, "cause", failure, "waiting",
                     waiting.size());
@@ -479,7 +479,7 @@
         @Override
         public void userEventTriggered(ChannelHandlerContext context, Object event) {
             if (event == TcpChannel.WriteDeferred.INSTANCE) {
-                gateway.tally().add(Tally.Count.WRITES_DEFERRED);
+                gateway.tally().increment(GatewayMetrics.Counter.WRITES_DEFERRED);
                 gateway.events().add(EventLog.Event.WRITE_DEFERRED, "trace", id);
             }
             if (event == Assembler.Event.EXPECTS) {
@@ -538,7 +538,7 @@
             } else if (path.equals("/ready")) {
                 boolean get = message.method().equals(HttpMethod.GET);
                 plain(!get ? HttpResponseStatus.METHOD_NOT_ALLOWED
-                        : life.ready() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE, false);
+                        : life.isReady() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE, false);
             } else if (path.equals("/api") || path.startsWith("/api/")) {
                 take(message, gateway.now() - arrived.at);
             } else {
--- a/src/main/java/mastdrift/net/Config.java
+++ b/src/main/java/mastdrift/net/Config.java
@@ -23,8 +23,8 @@
     invalid. {@code adminAddress} is null where operators have no access. {@code socketInherited} is set where the
     platform holds the clients' listening socket and has passed it to this process as descriptor 0. {@code maxSockets}
     is the limit of descriptors, {@code initialHosts} the host list to start with. */
-record Config(InetSocketAddress listen, boolean passedSocket, InetSocketAddress admin, InetSocketAddress discovery,
-        int sockets, HostList known, Settings settings) {
+record Config(InetSocketAddress listenAddress, boolean socketInherited, InetSocketAddress adminAddress, InetSocketAddress discoveryAddress,
+        int maxSockets, HostList initialHosts, Settings settings) {
 
     /** Reads the file that the variable {@code NODE_CONFIG} names; other variables override its values. */
     static Config read(Map<String, String> environment) {
@@ -33,14 +33,14 @@
         flatten("", root.get("settings"), facts);
         Settings settings;
         try {
-            settings = new Facts(facts).settings(seed(text(root, "seed")));
+            settings = new Facts(facts).settings(seed(stringValue(root, "seed")));
         } catch (IllegalArgumentException e) {
             throw new IllegalArgumentException("settings: expected " + e.getMessage(), e);
         }
-        String admin = environment.getOrDefault("NODE_ADMIN", text(root, "admin"));
-        return new Config(address(environment.getOrDefault("NODE_LISTEN", text(root, "listen"))),
-                !environment.getOrDefault("NODE_PASSED_SOCKET", "").isEmpty(), admin.isEmpty() ? null : address(admin),
-                address(environment.getOrDefault("NODE_DISCOVERY", text(root, "discovery"))),
+        String admin = environment.getOrDefault("NODE_ADMIN", stringValue(root, "admin"));
+        return new Config(parseAddress(environment.getOrDefault("NODE_LISTEN", stringValue(root, "listen"))),
+                !environment.getOrDefault("NODE_PASSED_SOCKET", "").isEmpty(), admin.isEmpty() ? null : parseAddress(admin),
+                parseAddress(environment.getOrDefault("NODE_DISCOVERY", stringValue(root, "discovery"))),
                 root.get("limits") instanceof Map<?, ?> limits && limits.get("sockets") instanceof Integer sockets
                         ? sockets : Integer.MAX_VALUE,
                 HostList.parse(root.get("known")), settings);
@@ -48,18 +48,18 @@
 
     /** Creates the metrics of a gateway with this configuration. They exist before the gateway, since operators may ask
         earlier. */
-    Tally tally() {
-        Tally tally = new Tally(settings.classes().stream().map(RequestClass::name).toList());
-        tally.set(Tally.Gauge.HOSTS_KNOWN, known.entries().size());
+    GatewayMetrics newMetrics() {
+        GatewayMetrics tally = new GatewayMetrics(settings.classes().stream().map(RequestClass::name).toList());
+        tally.setGauge(GatewayMetrics.Gauge.HOSTS_KNOWN, initialHosts.entries().size());
         return tally;
     }
 
     /** Reads the address of discovery from the file as it is now. */
-    static InetSocketAddress discovery(Map<String, String> environment) {
-        return address(text(file(environment), "discovery"));
+    static InetSocketAddress discoveryAddress(Map<String, String> environment) {
+        return parseAddress(stringValue(file(environment), "discovery"));
     }
 
-    static String text(Map<?, ?> object, String name) {
+    static String stringValue(Map<?, ?> object, String name) {
         return Objects.toString(object.get(name), "");
     }
 
@@ -102,7 +102,7 @@
     }
 
     /** Parses an IP address and port; host names are rejected, since no name service is used. */
-    static InetSocketAddress address(String text) {
+    static InetSocketAddress parseAddress(String text) {
         int colon = text.lastIndexOf(':');
         byte[] ip = NetUtil.createByteArrayFromIpAddressString(text.substring(0, Math.max(0, colon)));
         try {
--- a/src/main/java/mastdrift/net/Reloader.java
+++ b/src/main/java/mastdrift/net/ConfigReloader.java
@@ -10,7 +10,7 @@
     after the other, each applying what it read before the next one reads, so that the newest configuration wins. A file
     that can't be read (no descriptor left, a disk error, half written) is retried for a while, or until a newer signal
     arrives. */
-final class Reloader {
+final class ConfigReloader {
 
     private static final int READ_TRIES = 20;
     private static final long READ_RETRY_MILLIS = 100;
@@ -18,21 +18,21 @@
     private final Supplier<InetSocketAddress> read;
     private final Consumer<InetSocketAddress> take;
     private final Consumer<String> failed;
-    private final Pause pause;
+    private final Sleeper pause;
     private final AtomicInteger signals = new AtomicInteger();
 
     /** Pauses between two attempts to read. */
-    interface Pause {
-        void millis(long millis) throws InterruptedException;
+    interface Sleeper {
+        void sleep(long millis) throws InterruptedException;
     }
 
     /** {@code reader} throws IllegalArgumentException where the configuration can't be read; once the attempts are used
         up, {@code onFailure} gets its message. */
-    Reloader(Supplier<InetSocketAddress> read, Consumer<InetSocketAddress> take, Consumer<String> failed) {
+    ConfigReloader(Supplier<InetSocketAddress> read, Consumer<InetSocketAddress> take, Consumer<String> failed) {
         this(read, take, failed, TimeUnit.MILLISECONDS::sleep);
     }
 
-    Reloader(Supplier<InetSocketAddress> read, Consumer<InetSocketAddress> take, Consumer<String> failed, Pause pause) {
+    ConfigReloader(Supplier<InetSocketAddress> read, Consumer<InetSocketAddress> take, Consumer<String> failed, Sleeper pause) {
         this.read = read;
         this.take = take;
         this.failed = failed;
@@ -40,7 +40,7 @@
     }
 
     /** Handles one signal, on any thread. */
-    void signalled() {
+    void signalReceived() {
         int mine = signals.incrementAndGet();
         synchronized (this) {
             reload(mine);
@@ -63,7 +63,7 @@
 
     private boolean waited() {
         try {
-            pause.millis(READ_RETRY_MILLIS);
+            pause.sleep(READ_RETRY_MILLIS);
             return true;
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/src/main/java/mastdrift/net/Dialer.java
+++ b/src/main/java/mastdrift/net/Connector.java
@@ -12,21 +12,21 @@
 
 /** Opens connections and reports the result of each on the event loop. Where the system has no socket left, Netty
     creates no channel and would report the failure on a thread of its own. */
-final class Dialer {
+final class Connector {
 
     /** Receives the result of one {@link Connector#connect}: called once, on the event loop, after that method has
         returned. */
-    interface Result {
+    interface ConnectListener {
         void connected(Channel channel);
 
         void failed(Throwable cause);
     }
 
-    private Dialer() { }
+    private Connector() { }
 
     /** Starts to connect and returns the channel of the future connection, which is closed where none could be
         created. */
-    static Channel dial(Bootstrap bootstrap, EventLoop loop, InetSocketAddress at, Result result) {
+    static Channel connect(Bootstrap bootstrap, EventLoop loop, InetSocketAddress at, ConnectListener result) {
         ChannelFuture dialled = bootstrap.connect(at);
         dialled.addListener(done -> {
             if (loop.inEventLoop()) {
@@ -38,7 +38,7 @@
         return dialled.channel();
     }
 
-    private static void tell(ChannelFuture dialled, Result result) {
+    private static void tell(ChannelFuture dialled, ConnectListener result) {
         if (dialled.isSuccess()) {
             result.connected(dialled.channel());
         } else {
@@ -55,7 +55,7 @@
 
     /** Whether the failure lies with this machine (no descriptor, port, buffer or route at the moment) and says nothing
         about the remote one. */
-    static boolean isLocal(Throwable cause) {
+    static boolean isLocalFailure(Throwable cause) {
         boolean ofTheOther = cause instanceof ConnectException || cause instanceof NoRouteToHostException;
         return cause instanceof ChannelException || cause instanceof SocketException && !ofTheOther;
     }
--- a/src/main/java/mastdrift/net/Discovery.java
+++ b/src/main/java/mastdrift/net/DiscoveryClient.java
@@ -31,13 +31,13 @@
 /** Client of the discovery service: fetches and watches the host list. A fetch that fails, or a watch that ends, is
     reported once; the balancer decides when to ask again. When the address of discovery changes, the watch and an open
     fetch start again at the new address. */
-final class Discovery {
+final class DiscoveryClient {
 
     /** Time limit, in milliseconds, from connecting to the end of the first list; bytes that trickle in don't extend
         it. The platform expects the gateway to know a change 6 s after discovery had it and was reachable: a request
         that is not answered is given up early enough for the next one. Discovery may queue requests for some
         seconds. */
-    static final int CALL_MILLIS = 4000;
+    static final int CALL_TIMEOUT_MILLIS = 4000;
     // Time limit from one list to the next of a watch. Discovery sends a list or an empty line at least every 2 s.
     private static final int SILENCE_MILLIS = 3000;
     // After a change of discovery's address the gateway has to know the list of the new address within 4 s. For that
@@ -59,7 +59,7 @@
     private Channel fetch;
     private long movedAt = System.nanoTime() - TimeUnit.MILLISECONDS.toNanos(MOVE_MILLIS);
 
-    Discovery(EventLoop loop, InetSocketAddress at, long rev, Consumer<HostList> lists, Consumer<String> failures) {
+    DiscoveryClient(EventLoop loop, InetSocketAddress at, long rev, Consumer<HostList> lists, Consumer<String> failures) {
         this.loop = loop;
         this.at = at;
         this.rev = rev;
@@ -74,7 +74,7 @@
         Channel before = watch;
         watch = null;
         if (before != null) {
-            Dialer.close(before);
+            Connector.close(before);
         }
         if (active) {
             watch = call("/v1/endpoints?watch=1&from=" + rev, true);
@@ -86,13 +86,13 @@
         Channel before = fetch;
         fetch = null;
         if (before != null) {
-            Dialer.close(before);
+            Connector.close(before);
         }
         fetch = call("/v1/endpoints", false);
     }
 
     /** Sets the address of discovery. Whatever the old address still sends, or that its connections end, is ignored. */
-    void move(InetSocketAddress to) {
+    void setAddress(InetSocketAddress to) {
         if (to.equals(at)) {
             return;
         }
@@ -116,11 +116,11 @@
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        channel.pipeline().addLast(new HttpClientCodec(), new Call(watching));
+                        channel.pipeline().addLast(new HttpClientCodec(), new ResponseHandler(watching));
                     }
                 });
         Channel[] dialled = new Channel[1];
-        dialled[0] = Dialer.dial(bootstrap, loop, at, new Dialer.Result() {
+        dialled[0] = Connector.connect(bootstrap, loop, at, new Connector.ConnectListener() {
             @Override
             public void connected(Channel channel) {
                 DefaultFullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, path);
@@ -130,7 +130,7 @@
 
             @Override
             public void failed(Throwable cause) {
-                Discovery.this.failed(dialled[0], watching, "no connection: " + cause.getMessage());
+                DiscoveryClient.this.failed(dialled[0], watching, "no connection: " + cause.getMessage());
             }
         });
         return dialled[0];
@@ -170,24 +170,24 @@
 
     /** Reads the response to one request: a single list, or for a watch a list at a time for as long as it stays
         open. */
-    private final class Call extends SimpleChannelInboundHandler<HttpObject> {
+    private final class ResponseHandler extends SimpleChannelInboundHandler<HttpObject> {
 
         private final boolean watching;
-        private final ListFrames frames = new ListFrames();
+        private final JsonFrameDetector frames = new JsonFrameDetector();
         private ByteBuf text;
         private int seen;  // bytes of the text that the frame detector has read
         private boolean over;
         private String cause = "the connection ended";
         private Future<?> deadline;
 
-        Call(boolean watching) {
+        ResponseHandler(boolean watching) {
             this.watching = watching;
         }
 
         @Override
         public void handlerAdded(ChannelHandlerContext context) {
             text = context.alloc().heapBuffer();
-            bind(context, moving() ? MOVE_CALL_MILLIS : CALL_MILLIS, "no answer in time");
+            bind(context, moving() ? MOVE_CALL_MILLIS : CALL_TIMEOUT_MILLIS, "no answer in time");
         }
 
         @Override
@@ -246,8 +246,8 @@
             byte[] line = ByteBufUtil.getBytes(text.readSlice(length));
             if (!new String(line, StandardCharsets.UTF_8).isBlank()) {
                 HostList list = HostList.parse(JSON.std.anyFrom(line));
-                if (list.rev() >= rev) {  // a list that comes late may lack a drain that was already reported
-                    rev = list.rev();
+                if (list.revision() >= rev) {  // a list that comes late may lack a drain that was already reported
+                    rev = list.revision();
                     lists.accept(list);
                 }
             }
--- a/src/main/java/mastdrift/net/Gateway.java
+++ b/src/main/java/mastdrift/net/Gateway.java
@@ -78,7 +78,7 @@
         private final Relay rest;  // of its body, null where the message is whole
         private final long kept;
         private long lookedAt = now();  // for the client's departure
-        private final List<HostPool.Attempt> attempts = new ArrayList<>(2);
+        private final List<HostConnectionPool.Attempt> attempts = new ArrayList<>(2);
         private Future<?> backstop;
         private long due;  // on the gateway's clock
         private boolean coming;  // the rest
@@ -134,10 +134,10 @@
         /** The client went away: nothing more is owed. */
         void departed() {
             if (!ended) {
-                tally.add(Tally.Count.DEPARTED);
+                tally.increment(GatewayMetrics.Counter.DEPARTED);
                 finish(this);
                 if (rest != null || begun) {  // what comes or goes in pieces has lost its other end
-                    attempts.forEach(HostPool.Attempt::cancel);
+                    attempts.forEach(HostConnectionPool.Attempt::cancel);
                 }
                 event(null, now -> module.clientLeft(now, id));
             }
@@ -147,10 +147,10 @@
     private final EventLoop loop;
     private final Balancer module;
     private final Consumer<String> out;
-    private final HostPool hosts;
-    private final Discovery discovery;
+    private final HostConnectionPool hosts;
+    private final DiscoveryClient discovery;
     private final Settings settings;
-    private final Tally tally;
+    private final GatewayMetrics tally;
     private final EventLog log;
     private final LoopMonitor monitor;
     private final int openMost;
@@ -164,11 +164,11 @@
     private int incoming;  // of those that are open: requests of which a rest is to come, not taken before
     private final LongSupplier nanoTime;
     private final long startedAt;
-    private final HostStarts starts;
+    private final HostStartTimes starts;
 
     /** Starts the module; on the loop's thread. The clock runs in nanoseconds from any origin.
         {@code out} takes lines of the log, and must not block. */
-    Gateway(Config config, EventLoop loop, LongSupplier nanoTime, Balancer module, Tally tally, int hostConnections,
+    Gateway(Config config, EventLoop loop, LongSupplier nanoTime, Balancer module, GatewayMetrics tally, int hostConnections,
             int openMost, Consumer<String> out) {
         this.loop = loop;
         this.nanoTime = nanoTime;
@@ -180,17 +180,17 @@
         ThreadTimes times = new ThreadTimes();
         loop.parent().terminationFuture().addListener(ended -> times.close());
         monitor = new LoopMonitor(this::now, times::read, tally, log);
-        starts = new HostStarts(this::now, () -> System.currentTimeMillis() * 1000,
+        starts = new HostStartTimes(this::now, () -> System.currentTimeMillis() * 1000,
                 () -> log.add(EventLog.Event.CLOCK_STEPPED, "unix_ms", System.currentTimeMillis(), "steady_ms", now() / 1000));
         settings = config.settings();
         this.openMost = Math.min(openMost, settings.limits().maxOpenRequests());
-        hosts = new HostPool(loop, this::now, monitor, settings.connections().dialTimeout(), settings.connections().idleTimeout(),
+        hosts = new HostConnectionPool(loop, this::now, monitor, settings.connections().dialTimeout(), settings.connections().idleTimeout(),
                 settings.guarantees().drainGrace(), hostConnections, tally, log);
-        discovery = new Discovery(loop, config.discovery(), config.known().rev(),
-                list -> learn(list, list.all() ? ListUpdateType.FULL : ListUpdateType.DELTA), this::listFailed);
+        discovery = new DiscoveryClient(loop, config.discoveryAddress(), config.initialHosts().revision(),
+                list -> learn(list, list.full() ? ListUpdateType.FULL : ListUpdateType.DELTA), this::listFailed);
         Periodic.every(loop, TALLY_SPAN_MICROS, this::logTally, this::log);
         module.start(now(), settings, this);
-        learn(config.known(), ListUpdateType.CACHED);
+        learn(config.initialHosts(), ListUpdateType.CACHED);
         if (settings.listOnRequest()) {
             heard.complete(null);
         } else {
@@ -220,22 +220,22 @@
     }
 
     /** What is counted for the log; the clients' side adds its part. */
-    Tally tally() {
+    GatewayMetrics tally() {
         return tally;
     }
 
     /** Keeps the figures fresh that are not counted but looked at. */
     void keepFigures() {
-        Periodic.every(loop, FIGURES_SPAN_MICROS, () -> tally.set(Tally.Gauge.HOSTS_EXCLUDED, module.excludedHostCount(now())), this::log);
+        Periodic.every(loop, FIGURES_SPAN_MICROS, () -> tally.setGauge(GatewayMetrics.Gauge.HOSTS_EXCLUDED, module.excludedHostCount(now())), this::log);
     }
 
     /** Whether all that was taken, and every attempt at it, has ended and nothing is held for it any more. */
     boolean owesNothing() {
-        return open == 0 && incoming == 0 && ledger.isEmpty() && hosts.busy() == 0;
+        return open == 0 && incoming == 0 && ledger.isEmpty() && hosts.busyConnectionCount() == 0;
     }
 
     private void logTally() {
-        String line = tally.line();
+        String line = tally.logLine();
         if (!line.isEmpty()) {
             log(line);
         }
@@ -256,14 +256,14 @@
     /** Discovery is to be asked at another address. */
     void discoverAt(InetSocketAddress at) {
         log("discovery at " + NetUtil.toSocketAddressString(at));
-        discovery.move(at);
+        discovery.setAddress(at);
     }
 
     // ---- events: one after the other, never one inside another
 
     private void event(Exchange exchange, LongConsumer event) {
         if (!loop.inEventLoop()) {
-            tally.add(Tally.Count.OFF_LOOP);
+            tally.increment(GatewayMetrics.Counter.OFF_LOOP);
             log.add(EventLog.Event.OFF_LOOP, "thread", Thread.currentThread().getName());
         }
         events.add(() -> {
@@ -273,7 +273,7 @@
                 log("fault in an event: " + fault + Arrays.stream(fault.getStackTrace()).limit(1).toList());
                 if (exchange != null && !exchange.ended) {
                     finish(exchange);
-                    tally.add(exchange.className, Tally.Ended.FAILED);
+                    tally.increment(exchange.className, GatewayMetrics.RequestOutcome.FAILED);
                     exchange.client.failed(false);
                     event(null, now -> module.clientLeft(now, exchange.id));
                 }
@@ -293,16 +293,16 @@
     }
 
     private void learn(HostList told, ListUpdateType form) {
-        long begunAt = monitor.begin();
-        HostList list = told.withStarts(starts::place);
+        long begunAt = monitor.taskStarted();
+        HostList list = told.withStartTimes(starts::toLocalClock);
         if (form != ListUpdateType.CACHED) {
-            starts.heard();
+            starts.listReceived();
         }
         hosts.update(list);
-        tally.set(Tally.Gauge.HOSTS_KNOWN, hosts.known());
-        log("list " + list.rev() + ": " + list.entries().size() + (list.all() ? " hosts" : " changes"));
+        tally.setGauge(GatewayMetrics.Gauge.HOSTS_KNOWN, hosts.knownHostCount());
+        log("list " + list.revision() + ": " + list.entries().size() + (list.full() ? " hosts" : " changes"));
         event(null, now -> module.hostListReceived(now, form, list.entries().stream().map(HostList.Entry::host).toList()));
-        monitor.ended(LoopMonitor.Task.HOST_LIST, begunAt);
+        monitor.taskEnded(LoopMonitor.Task.HOST_LIST, begunAt);
         if (form != ListUpdateType.CACHED) {
             heard.complete(null);
         }
@@ -315,24 +315,24 @@
     }
 
     private void countInFlight() {
-        tally.set(Tally.Gauge.IN_FLIGHT, open - incoming);
+        tally.setGauge(GatewayMetrics.Gauge.IN_FLIGHT, open - incoming);
     }
 
     /** Takes a request, which keeps its message; the time left counts from its last byte, and the rest is null where that
         has come. Null where it was answered at once. */
     Exchange take(Client client, FullHttpRequest message, Relay rest, String className, String tenant, Long key,
             long left, boolean repeated, long work) {
-        tally.add(Tally.Count.TAKEN);
+        tally.increment(GatewayMetrics.Counter.TAKEN);
         if (open >= openMost) {
-            tally.add(Tally.Count.REFUSED_AT_BOUND);
-            tally.add(className, Tally.Ended.REFUSED);
+            tally.increment(GatewayMetrics.Counter.REFUSED_AT_BOUND);
+            tally.increment(className, GatewayMetrics.RequestOutcome.REFUSED);
             client.refused(settings.limits().maxRetryAfter());
             return null;
         }
         long kept = Math.min(left, answerBy - now()) - ANSWER_MARGIN_MICROS;
         if (kept <= 0) {
-            tally.add(Tally.Count.OVERDUE);
-            tally.add(className, Tally.Ended.FAILED);
+            tally.increment(GatewayMetrics.Counter.OVERDUE);
+            tally.increment(className, GatewayMetrics.RequestOutcome.FAILED);
             client.failed(true);
             return null;
         }
@@ -340,7 +340,7 @@
         open++;
         incoming += rest == null ? 0 : 1;
         countInFlight();
-        tally.level(Tally.Level.OPEN_REQUESTS, open);
+        tally.recordPeak(GatewayMetrics.Peak.OPEN_REQUESTS, open);
         ledger.put(exchange.id, exchange);
         exchange.startBackstop();
         boolean write = message.method().equals(HttpMethod.POST);
@@ -352,7 +352,7 @@
     /** The module owes an answer in time, and this keeps the promise where it doesn't. */
     private void overdue(Exchange exchange) {
         if (!exchange.ended) {
-            tally.add(Tally.Count.OVERDUE);
+            tally.increment(GatewayMetrics.Counter.OVERDUE);
             finish(exchange);
             failed(exchange, "overdue");
             exchange.client.failed(true);
@@ -361,7 +361,7 @@
     }
 
     private void failed(Exchange exchange, String reason) {
-        tally.add(exchange.className, Tally.Ended.FAILED);
+        tally.increment(exchange.className, GatewayMetrics.RequestOutcome.FAILED);
         log.add(EventLog.Event.REQUEST_FAILED, "trace", exchange.trace, "class", exchange.className, "reason", reason,
                 "attempts", exchange.attempts.size(), "late_us", Math.max(0, now() - exchange.due));
     }
@@ -378,7 +378,7 @@
         if (exchange.rest != null) {
             exchange.rest.abandon();
         }
-        exchange.attempts.forEach(HostPool.Attempt::withdraw);  // one that still waits for its connection is for nobody
+        exchange.attempts.forEach(HostConnectionPool.Attempt::cancelIfUnsent);  // one that still waits for its connection is for nobody
         forget(exchange);
     }
 
@@ -391,14 +391,14 @@
     private void resolved(Exchange exchange, int number, String uid, long elapsed, Outcome outcome,
             FullHttpResponse answer, LoadReport report) {
         exchange.late = outcome == Outcome.EXPIRED;
-        tally.add(outcome);
+        tally.increment(outcome);
         if (outcome != Outcome.DELIVERED && !exchange.ended) {
             log.add(EventLog.Event.ATTEMPT_FAILED, "trace", exchange.trace, "attempt", number, "host", uid, "outcome", outcome,
                     "after_us", elapsed);
         }
         if (outcome == Outcome.DELIVERED && !exchange.ended && !exchange.begun) {
             finish(exchange);
-            tally.add(exchange.className, Tally.Ended.SERVED);
+            tally.increment(exchange.className, GatewayMetrics.RequestOutcome.SERVED);
             exchange.client.served(answer);
         }
         event(exchange, now -> {
@@ -421,14 +421,14 @@
         exchange.client.begun(answer, rest, whole -> {
             if (!exchange.ended) {
                 finish(exchange);
-                tally.add(exchange.className, whole ? Tally.Ended.SERVED : Tally.Ended.FAILED);
+                tally.increment(exchange.className, whole ? GatewayMetrics.RequestOutcome.SERVED : GatewayMetrics.RequestOutcome.FAILED);
             }
         });
     }
 
     private LoadReport report(FullHttpResponse answer) {
         boolean given = answer != null && settings.capabilities().loadReportMode() == LoadReportMode.INLINE;
-        return LoadReports.parse(given ? answer.headers().get("Endpoint-Load-Metrics") : null);
+        return LoadReportParser.parse(given ? answer.headers().get("Endpoint-Load-Metrics") : null);
     }
 
     // ---- actions
@@ -459,7 +459,7 @@
 
     /** What becomes of one attempt. Its elapsed time is the host's: up to the answer's first bytes where that is passed
         on, and from the last byte of a request that is relayed. */
-    private final class Course implements HostPool.Ended {
+    private final class Course implements HostConnectionPool.AttemptListener {
 
         private final Exchange exchange;
         private final int number;
@@ -481,7 +481,7 @@
         }
 
         @Override
-        public void relaying() {
+        public void onRequestStreaming() {
             if (!exchange.ended) {
                 exchange.relaying = true;
                 exchange.message.release();
@@ -491,8 +491,8 @@
         }
 
         @Override
-        public void written() {
-            tally.add(Tally.Count.ATTEMPTS_WRITTEN);
+        public void onRequestWritten() {
+            tally.increment(GatewayMetrics.Counter.ATTEMPTS_WRITTEN);
             if (exchange.rest != null && !exchange.ended) {
                 sentAt = now();
                 exchange.whole();
@@ -501,14 +501,14 @@
         }
 
         @Override
-        public void begun(FullHttpResponse answer, Relay rest) {
+        public void onResponseStart(FullHttpResponse answer, Relay rest) {
             begunAt = now();
             report = report(answer);
             Gateway.this.begun(exchange, number, answer, rest);
         }
 
         @Override
-        public void ended(Outcome outcome, FullHttpResponse answer) {
+        public void onEnd(Outcome outcome, FullHttpResponse answer) {
             long elapsed = (begunAt == 0 ? now() : begunAt) - sentAt;
             resolved(exchange, number, uid, elapsed, outcome, answer, report == null ? report(answer) : report);
         }
@@ -550,7 +550,7 @@
         Exchange exchange = ledger.get(id);
         if (exchange != null && !exchange.ended && !exchange.begun) {
             finish(exchange);
-            tally.add(exchange.className, Tally.Ended.REFUSED);
+            tally.increment(exchange.className, GatewayMetrics.RequestOutcome.REFUSED);
             log.add(EventLog.Event.REQUEST_REFUSED, "trace", exchange.trace, "class", exchange.className, "attempts",
                     exchange.attempts.size());
             exchange.client.refused(retryAfter);
@@ -570,9 +570,9 @@
     @Override
     public void scheduleTimer(long at, String handle) {
         loop.schedule(() -> {
-            long begunAt = monitor.begin();
+            long begunAt = monitor.taskStarted();
             event(null, now -> module.timerFired(now, handle));
-            monitor.ended(LoopMonitor.Task.TIMER, begunAt);
+            monitor.taskEnded(LoopMonitor.Task.TIMER, begunAt);
         }, Math.max(1, at - now()), TimeUnit.MICROSECONDS);
     }
 
@@ -584,7 +584,7 @@
         long sentAt = now();
         hosts.send(uid, message, PROBE_TIMEOUT_MICROS, (outcome, answer) -> {
             long elapsed = now() - sentAt;
-            LoadReport report = LoadReports.parse(answer == null || !reports ? null
+            LoadReport report = LoadReportParser.parse(answer == null || !reports ? null
                     : answer.content().toString(StandardCharsets.UTF_8));
             event(null, now -> module.probeEnded(now, uid, outcome, elapsed, report));
         });
--- a/src/main/java/mastdrift/net/Tally.java
+++ b/src/main/java/mastdrift/net/GatewayMetrics.java
@@ -13,36 +13,36 @@
 
 /** The metrics of a gateway: totals since the process's start, which any thread may read, and a line of the log with
     what changed since the last such line. Uses no memory for each request. */
-final class Tally {
+final class GatewayMetrics {
 
     /** Counters, in their order in the log line. REFUSED_AT_BOUND and OVERDUE are also counted as requests refused and
         failed; DEPARTED, requests whose client disconnected, as neither. UNANSWERED counts connections that the gateway
         closed itself while a request on them was open. LOOP_LATE_* splits LOOP_LATE by cause. OFF_LOOP counts callbacks
         on a wrong thread. LOG_LINES_DROPPED counts lines that the output did not accept in time. */
-    enum Count { TAKEN, REFUSED_AT_BOUND, OVERDUE, DEPARTED, CLIENTS_CAME, CLIENTS_PUSHED_OUT, UNANSWERED, ACCEPTS_FAILED,
+    enum Counter { TAKEN, REFUSED_AT_BOUND, OVERDUE, DEPARTED, CLIENTS_CAME, CLIENTS_PUSHED_OUT, UNANSWERED, ACCEPTS_FAILED,
         HOST_DIALS, HOST_DIALS_FAILED, HOST_NO_ROOM, ATTEMPTS_WRITTEN, WRITES_DEFERRED, LOOP_LATE, LOOP_LATE_STARVED,
         LOOP_LATE_BUSY, LOOP_LATE_BLOCKED, OFF_LOOP, RELOADS_OK, RELOADS_FAILED, LOG_LINES_DROPPED }
 
     /** How a request ended whose client was still connected. */
-    enum Ended { SERVED, REFUSED, FAILED }
+    enum RequestOutcome { SERVED, REFUSED, FAILED }
 
     /** Values whose peak since the last log line is kept. */
-    enum Level { OPEN_REQUESTS, CLIENT_CONNECTIONS, HOST_CONNECTIONS }
+    enum Peak { OPEN_REQUESTS, CLIENT_CONNECTIONS, HOST_CONNECTIONS }
 
     /** Current values. */
     enum Gauge { IN_FLIGHT, HOSTS_KNOWN, HOSTS_EXCLUDED }
 
-    private final Map<Count, AtomicLong> counts = zeros(Count.class);
+    private final Map<Counter, AtomicLong> counts = zeros(Counter.class);
     private final Map<Outcome, AtomicLong> outcomes = zeros(Outcome.class);
     private final Map<Gauge, AtomicLong> gauges = zeros(Gauge.class);
-    private final Map<String, Map<Ended, AtomicLong>> requests = new LinkedHashMap<>();
+    private final Map<String, Map<RequestOutcome, AtomicLong>> requests = new LinkedHashMap<>();
     // For the log line only, on the gateway's event loop.
-    private final Map<Level, Integer> levels = new EnumMap<>(Level.class);
+    private final Map<Peak, Integer> levels = new EnumMap<>(Peak.class);
     private final Map<Enum<?>, Long> told = new HashMap<>();
 
     /** Creates metrics with every request class at 0. */
-    Tally(List<String> classNames) {
-        classNames.forEach(name -> requests.put(name, zeros(Ended.class)));
+    GatewayMetrics(List<String> classNames) {
+        classNames.forEach(name -> requests.put(name, zeros(RequestOutcome.class)));
     }
 
     private static <E extends Enum<E>> Map<E, AtomicLong> zeros(Class<E> type) {
@@ -51,35 +51,35 @@
         return zeros;
     }
 
-    void add(Count count) {
+    void increment(Counter count) {
         counts.get(count).incrementAndGet();
     }
 
-    void add(Outcome outcome) {
+    void increment(Outcome outcome) {
         outcomes.get(outcome).incrementAndGet();
     }
 
-    void add(String className, Ended ended) {
+    void increment(String className, RequestOutcome ended) {
         requests.get(className).get(ended).incrementAndGet();
     }
 
-    void level(Level level, int value) {
+    void recordPeak(Peak level, int value) {
         levels.merge(level, value, Math::max);
     }
 
-    void set(Gauge gauge, long value) {
+    void setGauge(Gauge gauge, long value) {
         gauges.get(gauge).set(value);
     }
 
-    long sum(Count count) {
+    long count(Counter count) {
         return counts.get(count).get();
     }
 
-    long sum(String className, Ended ended) {
+    long count(String className, RequestOutcome ended) {
         return requests.get(className).get(ended).get();
     }
 
-    long now(Gauge gauge) {
+    long gauge(Gauge gauge) {
         return gauges.get(gauge).get();
     }
 
@@ -89,9 +89,9 @@
 
     /** Returns the counts above 0 since the last such line, and the peaks, which start again; empty if nothing was
         counted. */
-    String line() {
-        String since = text(Count.values(), count -> sum(count));
-        String ended = text(Ended.values(), end -> requests.values().stream().mapToLong(sums -> sums.get(end).get()).sum());
+    String logLine() {
+        String since = text(Counter.values(), count -> count(count));
+        String ended = text(RequestOutcome.values(), end -> requests.values().stream().mapToLong(sums -> sums.get(end).get()).sum());
         String attempts = text(Outcome.values(), outcome -> outcomes.get(outcome).get());
         String most = levels.entrySet().stream().map(level -> name(level.getKey()) + "=" + level.getValue())
                 .collect(Collectors.joining(" "));
--- a/src/main/java/mastdrift/net/HostPool.java
+++ b/src/main/java/mastdrift/net/HostConnectionPool.java
@@ -44,9 +44,9 @@
 
 /** The pool of connections to hosts. Makes each attempt once, on the host that the caller chose, and reports its
     outcome. */
-final class HostPool {
+final class HostConnectionPool {
 
-    static final String EXPIRES = "X-Expires-In-Ms";
+    static final String EXPIRES_HEADER = "X-Expires-In-Ms";
     // Part of the hosts' idle timeout after which an idle connection is no longer used: a request that is written later
     // could meet the host's close.
     private static final double IDLE_PART = 0.8;
@@ -76,36 +76,36 @@
     private static final long STRAY_KEPT_MICROS = 60_000_000;
 
     /** Receives the events of one attempt. */
-    interface Ended {
+    interface AttemptListener {
         /** Whether the attempt may still be written, asked when its new connection has been established. */
         default boolean mayWrite() {
             return true;
         }
 
         /** The last byte of the request has been written. The attempt may have ended before. */
-        default void written() { }
+        default void onRequestWritten() { }
 
         /** The request is streamed from now on and can't be sent again. */
-        default void relaying() { }
+        default void onRequestStreaming() { }
 
         /** A response that is too long to be aggregated has started. The listener consumes or abandons the relay of its
             body; {@link #onEnd} follows once the whole body has been read or can't be. */
-        default void begun(FullHttpResponse answer, Relay rest) {
+        default void onResponseStart(FullHttpResponse answer, Relay rest) {
             rest.abandon();
         }
 
         /** The attempt has ended; called exactly once. The response is null where the host gave none or it was
             streamed. */
-        void ended(Outcome outcome, FullHttpResponse answer);
+        void onEnd(Outcome outcome, FullHttpResponse answer);
     }
 
     /** A host of the list with its idle connections. Times are on the gateway's clock, in microseconds. */
-    private static final class Peer {
+    private static final class PooledHost {
         private InetSocketAddress at;
         private long born;
         private long sendUntil = Long.MAX_VALUE;
         private long strayUntil;  // until then idle connections are reused only after REUSE_DELAY_MICROS
-        private final Deque<Connection> idle = new ArrayDeque<>();  // most recently used first
+        private final Deque<HostConnection> idle = new ArrayDeque<>();  // most recently used first
     }
 
     private final EventLoop loop;
@@ -114,15 +114,15 @@
     private long idleMost;
     private final long grace;
     private final int most;
-    private final Map<String, Peer> peers = new HashMap<>();
-    private final Tally tally;
+    private final Map<String, PooledHost> peers = new HashMap<>();
+    private final GatewayMetrics tally;
     private final EventLog log;
     private int connections;
 
     /** Creates a pool of at most {@code maxConnections} connections. The clock and all durations are in
         microseconds. */
-    HostPool(EventLoop loop, LongSupplier clock, LoopMonitor monitor, long dialTimeout, long idle, long grace, int most,
-            Tally tally, EventLog log) {
+    HostConnectionPool(EventLoop loop, LongSupplier clock, LoopMonitor monitor, long dialTimeout, long idle, long grace, int most,
+            GatewayMetrics tally, EventLog log) {
         this.loop = loop;
         this.clock = clock;
         this.grace = Math.max(0, grace - GRACE_SPARE_MICROS);
@@ -138,11 +138,11 @@
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        Answers answers = new Answers();
+                        ResponseDecoder answers = new ResponseDecoder();
                         Assembler assembler = new Assembler();
                         channel.pipeline().addLast(new HttpRequestEncoder(),
                                 new MonitoredReads(monitor, LoopMonitor.Task.UPSTREAM_READ), answers, assembler,
-                                new Connection(channel, answers, assembler));
+                                new HostConnection(channel, answers, assembler));
                     }
                 });
         long sweep = Math.min(idleMost / 8 + 1, 1_000_000);
@@ -156,22 +156,22 @@
         for (HostList.Entry entry : list.entries()) {
             Host host = entry.host();
             named.add(host.address());
-            Peer peer = peers.computeIfAbsent(host.address(), uid -> new Peer());
+            PooledHost peer = peers.computeIfAbsent(host.address(), uid -> new PooledHost());
             if (host.state() != HostState.IN_SERVICE) {
                 leave(peer);
             } else {
-                if (!entry.at().equals(peer.at) || host.startedAt() != peer.born) {
+                if (!entry.endpoint().equals(peer.at) || host.startedAt() != peer.born) {
                     closeIdle(peer);
                 }
                 peer.sendUntil = Long.MAX_VALUE;
             }
-            peer.at = entry.at();
+            peer.at = entry.endpoint();
             peer.born = host.startedAt();
             if (host.state() == HostState.TERMINATED) {
                 peers.remove(host.address());
             }
         }
-        if (list.all()) {
+        if (list.full()) {
             peers.entrySet().removeIf(known -> {
                 boolean gone = !named.contains(known.getKey());
                 if (gone) {
@@ -182,22 +182,22 @@
         }
     }
 
-    int known() {
+    int knownHostCount() {
         return peers.size();
     }
 
     /** The number of connections that are being established or carry an attempt. */
-    int busy() {
+    int busyConnectionCount() {
         return connections - peers.values().stream().mapToInt(peer -> peer.idle.size()).sum();
     }
 
-    private void leave(Peer peer) {
+    private void leave(PooledHost peer) {
         peer.sendUntil = Math.min(peer.sendUntil, clock.getAsLong() + grace);
         closeIdle(peer);
     }
 
     /** Sends a request, which it releases. The timeout, in microseconds, covers the whole attempt. */
-    Attempt send(String uid, FullHttpRequest message, long timeout, Ended ended) {
+    Attempt send(String uid, FullHttpRequest message, long timeout, AttemptListener ended) {
         return send(uid, message, null, timeout, ended);
     }
 
@@ -205,19 +205,19 @@
         With a relay the timeout, in microseconds, applies to each phase: connecting, a host that accepts no more of the
         body, and the response from the last byte sent on. Where the body waited for the connection, the later phases
         share what is left. */
-    Attempt send(String uid, FullHttpRequest message, Relay rest, long timeout, Ended ended) {
+    Attempt send(String uid, FullHttpRequest message, Relay rest, long timeout, AttemptListener ended) {
         Attempt attempt = new Attempt(message, rest, timeout, ended);
-        Peer peer = peers.get(uid);
+        PooledHost peer = peers.get(uid);
         if (peer == null || timeout <= 0) {
             attempt.end(Outcome.UNUSED, null);
             return attempt;
         }
         attempt.startTimer();
-        Connection idle = takeIdle(peer);
+        HostConnection idle = takeIdle(peer);
         if (idle != null) {
             idle.write(attempt);
         } else if (connections >= most && !closeEldest()) {
-            tally.add(Tally.Count.HOST_NO_ROOM);
+            tally.increment(GatewayMetrics.Counter.HOST_NO_ROOM);
             attempt.end(Outcome.DIAL_FAILED, null);
         } else {
             dial(peer, attempt, 1);
@@ -225,18 +225,18 @@
         return attempt;
     }
 
-    private void dial(Peer peer, Attempt attempt, int tries) {
+    private void dial(PooledHost peer, Attempt attempt, int tries) {
         InetSocketAddress at = peer.at;
         long born = peer.born;
         connections++;
-        tally.add(Tally.Count.HOST_DIALS);
-        tally.level(Tally.Level.HOST_CONNECTIONS, connections);
-        attempt.channel = Dialer.dial(bootstrap, loop, at, new Dialer.Result() {
+        tally.increment(GatewayMetrics.Counter.HOST_DIALS);
+        tally.recordPeak(GatewayMetrics.Peak.HOST_CONNECTIONS, connections);
+        attempt.channel = Connector.connect(bootstrap, loop, at, new Connector.ConnectListener() {
             @Override
             public void connected(Channel channel) {
                 channel.closeFuture().addListener(closed -> connections--);
                 if (!attempt.over) {
-                    Connection connection = channel.pipeline().get(Connection.class);
+                    HostConnection connection = channel.pipeline().get(HostConnection.class);
                     connection.peer = peer;
                     connection.at = at;
                     connection.born = born;
@@ -247,9 +247,9 @@
             @Override
             public void failed(Throwable cause) {
                 connections--;  // not by a close listener: where no descriptor was left there is no channel to close
-                tally.add(Tally.Count.HOST_DIALS_FAILED);
+                tally.increment(GatewayMetrics.Counter.HOST_DIALS_FAILED);
                 log.add(EventLog.Event.DIAL_FAILED, "at", at, "cause", cause, "tries", tries);
-                if (Dialer.isLocal(cause) && tries < LOCAL_TRIES) {
+                if (Connector.isLocalFailure(cause) && tries < LOCAL_TRIES) {
                     loop.schedule(() -> dialAgain(peer, attempt, tries + 1), LOCAL_RETRY_MILLIS, TimeUnit.MILLISECONDS);
                 } else {
                     attempt.end(Outcome.DIAL_FAILED, null);
@@ -260,7 +260,7 @@
 
     /** Connects again after a failure on this machine, unless the attempt has ended or the host may no longer be
         used. */
-    private void dialAgain(Peer peer, Attempt attempt, int tries) {
+    private void dialAgain(PooledHost peer, Attempt attempt, int tries) {
         if (attempt.over) {
             return;
         }
@@ -271,11 +271,11 @@
         }
     }
 
-    private Connection takeIdle(Peer peer) {
+    private HostConnection takeIdle(PooledHost peer) {
         long now = clock.getAsLong();
         long least = now < peer.strayUntil ? STRAY_REST_MICROS : 0;
-        for (Iterator<Connection> each = peer.idle.iterator(); each.hasNext(); ) {
-            Connection idle = each.next();
+        for (Iterator<HostConnection> each = peer.idle.iterator(); each.hasNext(); ) {
+            HostConnection idle = each.next();
             if (now - idle.idleSince < least) {
                 continue;  // the following ones have been idle for longer
             }
@@ -289,7 +289,7 @@
     }
 
     private boolean closeEldest() {
-        Optional<Connection> eldest = peers.values().stream().map(peer -> peer.idle.peekLast())
+        Optional<HostConnection> eldest = peers.values().stream().map(peer -> peer.idle.peekLast())
                 .filter(Objects::nonNull).min(Comparator.comparingLong(idle -> idle.idleSince));
         eldest.ifPresent(idle -> {
             idle.peer.idle.remove(idle);
@@ -300,7 +300,7 @@
 
     private void closeAged() {
         long before = clock.getAsLong() - idleMost;
-        for (Peer peer : peers.values()) {
+        for (PooledHost peer : peers.values()) {
             while (!peer.idle.isEmpty() && peer.idle.peekLast().idleSince <= before) {
                 peer.idle.pollLast().channel.close();
             }
@@ -320,8 +320,8 @@
         }
     }
 
-    private static void closeIdle(Peer peer) {
-        for (Connection idle = peer.idle.poll(); idle != null; idle = peer.idle.poll()) {
+    private static void closeIdle(PooledHost peer) {
+        for (HostConnection idle = peer.idle.poll(); idle != null; idle = peer.idle.poll()) {
             idle.channel.close();
         }
     }
@@ -332,7 +332,7 @@
         private final FullHttpRequest message;
         private final Relay rest;
         private long timeout;
-        private final Ended ended;
+        private final AttemptListener ended;
         private long ends;
         private long movedAt;  // when the host last accepted a part of the body, or none was waiting
         private Future<?> timer;
@@ -343,7 +343,7 @@
         private boolean written;
         private boolean over;
 
-        private Attempt(FullHttpRequest message, Relay rest, long timeout, Ended ended) {
+        private Attempt(FullHttpRequest message, Relay rest, long timeout, AttemptListener ended) {
             this.message = message;
             this.rest = rest;
             this.timeout = timeout;
@@ -383,7 +383,7 @@
         }
 
         /** Cancels the attempt unless writing it has started. */
-        void withdraw() {
+        void cancelIfUnsent() {
             if (!sending) {
                 cancel();
             }
@@ -400,7 +400,7 @@
                 if (assembler != null) {
                     assembler.breakOff();  // or the close could pass for the end of a response that ends with it
                 }
-                Dialer.close(channel);
+                Connector.close(channel);
             }
         }
 
@@ -413,13 +413,13 @@
             if (!sending) {
                 message.release();
             }
-            ended.ended(outcome, answer);
+            ended.onEnd(outcome, answer);
         }
     }
 
     /** Decodes responses. Rejects one with both a content length and chunked encoding, and one with neither on a
         persistent connection: where it ends would be a guess. */
-    private static final class Answers extends HttpResponseDecoder {
+    private static final class ResponseDecoder extends HttpResponseDecoder {
 
         private boolean begun;
 
@@ -457,13 +457,13 @@
     }
 
     /** One connection, which carries one attempt at a time. */
-    private final class Connection extends SimpleChannelInboundHandler<Assembler.Part> {
+    private final class HostConnection extends SimpleChannelInboundHandler<Assembler.Part> {
 
         private final Channel channel;
-        private final Answers answers;
+        private final ResponseDecoder answers;
         private final Assembler assembler;
         private Relay relay;  // of the response that is being streamed, or null
-        private Peer peer;
+        private PooledHost peer;
         private InetSocketAddress at;
         private long born;
         private Attempt attempt;
@@ -473,7 +473,7 @@
         private int interim;
         private long idleSince;
 
-        Connection(Channel channel, Answers answers, Assembler assembler) {
+        HostConnection(Channel channel, ResponseDecoder answers, Assembler assembler) {
             this.channel = channel;
             this.answers = answers;
             this.assembler = assembler;
@@ -501,7 +501,7 @@
             attempt = next;
             next.sending = true;
             next.message.headers().set(HttpHeaderNames.HOST, NetUtil.toSocketAddressString(at))
-                    .set(EXPIRES, Math.max(1, (next.ends - now) / 1000));
+                    .set(EXPIRES_HEADER, Math.max(1, (next.ends - now) / 1000));
             if (next.rest == null) {
                 channel.writeAndFlush(next.message).addListener(done -> written(next, done.isSuccess()));
             } else {
@@ -512,7 +512,7 @@
         private void written(Attempt mine, boolean whole) {
             mine.written = whole;
             if (whole) {
-                mine.ended.written();
+                mine.ended.onRequestWritten();
             } else {
                 channel.close();
             }
@@ -529,7 +529,7 @@
             }
             mine.movedAt = clock.getAsLong();
             mine.awaitMove();
-            mine.ended.relaying();
+            mine.ended.onRequestStreaming();
             mine.rest.writeTo(channel, whole -> {
                 if (whole && !mine.over) {
                     mine.startTimer();
@@ -615,7 +615,7 @@
                     awaitMore(mine);  // waiting for the host again, with a full timeout
                 }
             });
-            mine.ended.begun(answer, rest);
+            mine.ended.onResponseStart(answer, rest);
             awaitMore(mine);
         }
 
@@ -706,7 +706,7 @@
         @Override
         public void userEventTriggered(ChannelHandlerContext context, Object event) {
             if (event == TcpChannel.WriteDeferred.INSTANCE) {
-                tally.add(Tally.Count.WRITES_DEFERRED);
+                tally.increment(GatewayMetrics.Counter.WRITES_DEFERRED);
                 log.add(EventLog.Event.WRITE_DEFERRED, "at", at);
             }
         }
--- a/src/main/java/mastdrift/net/HostList.java
+++ b/src/main/java/mastdrift/net/HostList.java
@@ -9,10 +9,10 @@
 import mastdrift.Balancer.Host;
 
 /** A host list from discovery: all hosts where {@code full}, and otherwise the entries that changed. */
-record HostList(long rev, boolean all, List<Entry> entries) {
+record HostList(long revision, boolean full, List<Entry> entries) {
 
     /** A host as the balancer knows it, by its uid, and the address at which this gateway reaches it. */
-    record Entry(Host host, InetSocketAddress at) { }
+    record Entry(Host host, InetSocketAddress endpoint) { }
 
     /** Reads a list from parsed JSON; throws IllegalArgumentException for anything else. */
     static HostList parse(Object json) {
@@ -28,8 +28,8 @@
     }
 
     private static Entry entry(Map<?, ?> target) {
-        String uid = Config.text(target, "uid");
-        String state = Config.text(target, "state");
+        String uid = Config.stringValue(target, "uid");
+        String state = Config.stringValue(target, "state");
         HostState health = switch (state) {
             case "in_service" -> HostState.IN_SERVICE;
             case "terminating" -> HostState.TERMINATING;
@@ -41,17 +41,17 @@
         }
         // In microseconds of Unix time, which Gateway converts to its own clock.
         long born = Math.multiplyExact(number(target, "boot_ms", 0).longValue(), 1000L);
-        return new Entry(new Host(uid, Config.text(target, "az"), number(target, "pod_group", 0).intValue(),
-                Config.text(target, "model"), number(target, "capacity_hint", 1).doubleValue(), health, born),
-                Config.address(Config.text(target, "endpoint")));
+        return new Entry(new Host(uid, Config.stringValue(target, "az"), number(target, "pod_group", 0).intValue(),
+                Config.stringValue(target, "model"), number(target, "capacity_hint", 1).doubleValue(), health, born),
+                Config.parseAddress(Config.stringValue(target, "endpoint")));
     }
 
     /** Returns this list with the hosts' start times converted to another clock. */
-    HostList withStarts(ToLongBiFunction<String, Long> place) {
-        return new HostList(rev, all, entries.stream().map(entry -> {
+    HostList withStartTimes(ToLongBiFunction<String, Long> place) {
+        return new HostList(revision, full, entries.stream().map(entry -> {
             Host host = entry.host;
             return new Entry(new Host(host.address(), host.zone(), host.cell(), host.model(), host.weight(), host.state(),
-                    place.applyAsLong(host.address(), host.startedAt())), entry.at);
+                    place.applyAsLong(host.address(), host.startedAt())), entry.endpoint);
         }).toList());
     }
 
--- a/src/main/java/mastdrift/net/HostStarts.java
+++ b/src/main/java/mastdrift/net/HostStartTimes.java
@@ -12,7 +12,7 @@
  * be much older than the list before; if it looks older, the clock is off and the host counts as just started. All
  * times are in microseconds. Not thread-safe: used on the event loop only.
  */
-final class HostStarts {
+final class HostStartTimes {
 
     /** The start time that stands for "long ago", in lists and for the balancer. */
     static final long LONG_AGO = 0;
@@ -42,7 +42,7 @@
     /** {@code clock} is steady and begins with the Unix time at the gateway's start; {@code unixTime} is the machine's
         real-time clock, which may be stepped; both in microseconds. {@code onClockMismatch} runs for each start time
         that can't be right. */
-    HostStarts(LongSupplier clock, LongSupplier unixTime, Runnable clockIsOff) {
+    HostStartTimes(LongSupplier clock, LongSupplier unixTime, Runnable clockIsOff) {
         this.clock = clock;
         this.unixTime = unixTime;
         this.clockIsOff = clockIsOff;
@@ -50,13 +50,13 @@
 
     /** To be called after each list from discovery: hosts that are new in a later list started after this moment, but
         for delays. */
-    void heard() {
+    void listReceived() {
         heard = true;
         heardAt = clock.getAsLong();
     }
 
     /** Returns the start of a host on the gateway's clock, for its listed start in Unix time. */
-    long place(String uid, long told) {
+    long toLocalClock(String uid, long told) {
         if (told <= LONG_AGO) {
             return LONG_AGO;
         }
--- a/src/main/java/mastdrift/net/ListFrames.java
+++ b/src/main/java/mastdrift/net/JsonFrameDetector.java
@@ -2,7 +2,7 @@
 
 /** Finds the ends of JSON objects in the byte stream of a watch. An object stands on one line or is indented over
     several. Empty lines may separate objects; an empty line within an object means that the rest of it won't follow. */
-final class ListFrames {
+final class JsonFrameDetector {
 
     private int depth;
     private boolean text;  // within a JSON string
--- a/src/main/java/mastdrift/net/Life.java
+++ b/src/main/java/mastdrift/net/Lifecycle.java
@@ -4,7 +4,7 @@
 
 /** The lifecycle of a gateway, of which this is the only owner. Thread-safe: calls may be repeated and may race with
     each other. A stop is final, and a standby that is set during the start holds after it. */
-final class Life {
+final class Lifecycle {
 
     /** In STANDBY the gateway serves open connections until they have been closed, and should get no new ones. */
     enum State { STARTING, ACTIVE, STANDBY, STOPPING }
@@ -22,13 +22,13 @@
     }
 
     /** Whether new clients may be directed here. */
-    boolean ready() {
+    boolean isReady() {
         return state() == State.ACTIVE;
     }
 
     /** Notes that clients can be served. {@code onChange} runs now and at each later change of standby, on the thread
         that makes it. */
-    void started(Runnable then) {
+    void markStarted(Runnable then) {
         synchronized (this) {
             started = true;
             changed = then;
@@ -37,7 +37,7 @@
     }
 
     /** Sets or ends standby. Returns false where the gateway is stopping and can't become active again. */
-    boolean standby(boolean wanted) {
+    boolean setStandby(boolean wanted) {
         Runnable then;
         synchronized (this) {
             if (stopping) {
--- a/src/main/java/mastdrift/net/LoadReports.java
+++ b/src/main/java/mastdrift/net/LoadReportParser.java
@@ -5,13 +5,13 @@
 import mastdrift.Balancer.LoadReport;
 
 /** Parses load reports of hosts: {@code TEXT name=value, name=value}. */
-final class LoadReports {
+final class LoadReportParser {
 
     private static final List<String> NAMES = List.of("active", "waiting", "cpu", "avg_ms", "rps", "err_rps");
     private static final List<String> OTHER_NAMES =
             List.of("inflight", "queue", "util", "latency_ms", "qps", "eps");
 
-    private LoadReports() { }
+    private LoadReportParser() { }
 
     /** Parses a report; the text may be null. A value that is missing or is no number becomes NaN. */
     static LoadReport parse(String text) {
--- a/src/main/java/mastdrift/net/LogWriter.java
+++ b/src/main/java/mastdrift/net/LogWriter.java
@@ -21,7 +21,7 @@
 final class LogWriter implements Consumer<String> {
 
     /** Bound of the queue, in characters. */
-    static final int QUEUE_CHARS_MOST = 256 << 10;
+    static final int MAX_QUEUED_CHARS = 256 << 10;
     private static final int ENTRY_CHARS = 64;  // counted for each line, so that empty lines are bounded too
     private static final long FULL_RETRY_MILLIS = 10;  // pause while a non-blocking output accepts nothing
 
@@ -57,7 +57,7 @@
     }
 
     /** Starts a writer to standard output or error, as {@link #start} does. */
-    static LogWriter to(FileDescriptor descriptor, Runnable onDrop) {
+    static LogWriter startOn(FileDescriptor descriptor, Runnable onDrop) {
         return start(new FileOutputStream(descriptor).getChannel(), onDrop);
     }
 
@@ -65,7 +65,7 @@
     @Override
     public void accept(String line) {
         Entry entry = new Entry(line.replace('\n', ' '), null);
-        if (queuedChars.addAndGet(entry.chars()) > QUEUE_CHARS_MOST) {
+        if (queuedChars.addAndGet(entry.chars()) > MAX_QUEUED_CHARS) {
             queuedChars.addAndGet(-entry.chars());
             drop();
             return;
--- a/src/main/java/mastdrift/net/LoopMonitor.java
+++ b/src/main/java/mastdrift/net/LoopMonitor.java
@@ -15,27 +15,27 @@
     /** What took most of the time of a late loop. */
     enum Cause {
         /** The thread was ready to run and waited for a core. */
-        STARVED(Tally.Count.LOOP_LATE_STARVED),
+        STARVED(GatewayMetrics.Counter.LOOP_LATE_STARVED),
         /** The thread ran. */
-        BUSY(Tally.Count.LOOP_LATE_BUSY),
+        BUSY(GatewayMetrics.Counter.LOOP_LATE_BUSY),
         /** The thread neither ran nor was ready to run. */
-        BLOCKED(Tally.Count.LOOP_LATE_BLOCKED);
+        BLOCKED(GatewayMetrics.Counter.LOOP_LATE_BLOCKED);
 
-        private final Tally.Count count;
+        private final GatewayMetrics.Counter count;
 
-        Cause(Tally.Count count) {
+        Cause(GatewayMetrics.Counter count) {
             this.count = count;
         }
     }
 
     /** Time between two checks. */
-    static final long SPAN_MICROS = 250_000;
+    static final long CHECK_INTERVAL_MICROS = 250_000;
     // The platform may suspend the process for so long; only longer delays are reported.
-    static final long HELD_UP_MICROS_MOST = 150_000;
+    static final long MAX_DELAY_MICROS = 150_000;
 
     private final LongSupplier clock;
     private final Supplier<ThreadTimes.Sample> times;
-    private final Tally tally;
+    private final GatewayMetrics tally;
     private final EventLog log;
     private long lookedAt;  // 0 before the first check
     private ThreadTimes.Sample before;
@@ -44,7 +44,7 @@
     private long longestTook;
 
     /** {@code times} gives the CPU times of the loop's thread, or null where they can't be read. */
-    LoopMonitor(LongSupplier clock, Supplier<ThreadTimes.Sample> times, Tally tally, EventLog log) {
+    LoopMonitor(LongSupplier clock, Supplier<ThreadTimes.Sample> times, GatewayMetrics tally, EventLog log) {
         this.clock = clock;
         this.times = times;
         this.tally = tally;
@@ -52,12 +52,12 @@
     }
 
     /** Returns the start time of a task, for {@link #taskEnded}. */
-    long begin() {
+    long taskStarted() {
         return clock.getAsLong();
     }
 
     /** Notes the end of a task that started at that time. */
-    void ended(Task task, long begunAt) {
+    void taskEnded(Task task, long begunAt) {
         long took = clock.getAsLong() - begunAt;
         if (took > longestTook) {
             longest = task;
@@ -66,13 +66,13 @@
     }
 
     /** To be called every {@link #CHECK_INTERVAL_MICROS}; logs if this call, or a task since the last one, was late. */
-    void look() {
+    void check() {
         long now = clock.getAsLong();
         ThreadTimes.Sample sample = times.get();
         if (lookedAt != 0) {
             long wall = now - lookedAt;
-            long late = Math.max(wall - SPAN_MICROS, longestTook);
-            if (late > HELD_UP_MICROS_MOST) {
+            long late = Math.max(wall - CHECK_INTERVAL_MICROS, longestTook);
+            if (late > MAX_DELAY_MICROS) {
                 tell(wall, late, sample);
             }
         }
@@ -86,7 +86,7 @@
     }
 
     private void tell(long wall, long late, ThreadTimes.Sample sample) {
-        tally.add(Tally.Count.LOOP_LATE);
+        tally.increment(GatewayMetrics.Counter.LOOP_LATE);
         Long cpu = null;
         Long runDelay = null;
         Long blocked = null;
@@ -96,7 +96,7 @@
             runDelay = sample.runDelayMicros() - before.runDelayMicros();
             blocked = Math.max(0, late - cpu - runDelay);
             cause = cause(cpu, runDelay, blocked);
-            tally.add(cause.count);
+            tally.increment(cause.count);
         }
         log.add(EventLog.Event.LOOP_LATE, "late_us", late, "cause", cause, "wall_us", wall, "cpu_us", cpu,
                 "run_delay_us", runDelay, "blocked_us", blocked, "collected", untilCollection.get() == null,
--- a/src/main/java/mastdrift/net/Main.java
+++ b/src/main/java/mastdrift/net/Main.java
@@ -50,25 +50,25 @@
         start loads; exits with status 2 where the configuration can't be run with. */
     public static void main(String[] args) {
         // First of all, or the signal would end the program. One that comes during the start is heard after it.
-        CompletableFuture<Reloader> reloader = new CompletableFuture<>();
-        onHangUp(() -> reloader.thenAccept(Reloader::signalled));
+        CompletableFuture<ConfigReloader> reloader = new CompletableFuture<>();
+        onHangUp(() -> reloader.thenAccept(ConfigReloader::signalReceived));
         // The library logs a failed accept; out of descriptors the log's own files can't be opened, and the error that
         // comes of it would end the loop's thread and with it the gateway.
         LibraryLog.LOGGER.setLevel(Level.OFF);
         // A connection whose options can't be set is as good as another, and its client's request is owed an answer.
         System.setProperty("io.netty.bootstrap.closeOnSetOptionFailure", "false");
         EventLoop loop = loop();
-        Life life = new Life();
+        Lifecycle life = new Lifecycle();
         try {
             Config config = config();
-            ServerSocketChannel passed = config.passedSocket() ? passed() : null;
-            Tally tally = config.tally();
-            InetSocketAddress admin = config.admin() == null ? null
-                    : Admin.open(config.admin(), loop(), life, tally).address();
+            ServerSocketChannel passed = config.socketInherited() ? passed() : null;
+            GatewayMetrics tally = config.newMetrics();
+            InetSocketAddress admin = config.adminAddress() == null ? null
+                    : AdminServer.start(config.adminAddress(), loop(), life, tally).address();
             boolean build = List.of(args).contains(REHEARSE);
-            LogWriter log = LogWriter.to(FileDescriptor.out, () -> tally.add(Tally.Count.LOG_LINES_DROPPED));
+            LogWriter log = LogWriter.startOn(FileDescriptor.out, () -> tally.increment(GatewayMetrics.Counter.LOG_LINES_DROPPED));
             ClassPreloader.load();
-            Rehearsal.play(config, admin, build, loop(), log);
+            WarmUp.run(config, admin, build, loop(), log);
             if (build) {
                 log.flush(LOG_FLUSH_MILLIS);
                 System.exit(0);  // a halt would leave no archive
@@ -84,7 +84,7 @@
             listen(clients, config, passed, loop, life, log);
         } catch (IllegalArgumentException | CompletionException e) {
             Throwable cause = e instanceof CompletionException ? e.getCause() : e;
-            LogWriter errors = LogWriter.to(FileDescriptor.err, () -> { });
+            LogWriter errors = LogWriter.startOn(FileDescriptor.err, () -> { });
             errors.accept("can't start: " + cause.getMessage());
             end(errors, 2);  // there is nothing to finish
         } catch (InterruptedException e) {
@@ -123,12 +123,12 @@
     }
 
     /** Takes from the configuration where discovery is; one that can't be read changes nothing. */
-    private static Reloader reloader(Gateway gateway, EventLoop loop) {
-        return new Reloader(() -> Config.discovery(System.getenv()), discovery -> {
-            gateway.tally().add(Tally.Count.RELOADS_OK);
+    private static ConfigReloader reloader(Gateway gateway, EventLoop loop) {
+        return new ConfigReloader(() -> Config.discoveryAddress(System.getenv()), discovery -> {
+            gateway.tally().increment(GatewayMetrics.Counter.RELOADS_OK);
             handOver(loop, () -> gateway.discoverAt(discovery), gateway::log);
         }, cause -> {
-            gateway.tally().add(Tally.Count.RELOADS_FAILED);
+            gateway.tally().increment(GatewayMetrics.Counter.RELOADS_FAILED);
             gateway.log("configuration not taken: " + cause);
         });
     }
@@ -171,12 +171,12 @@
 
     /** Starts a gateway on the loop that nobody reaches yet; the clock runs in nanoseconds from any origin. Throws
         IllegalArgumentException for settings it can't run with. */
-    static ClientSide prepare(Config config, EventLoop loop, LongSupplier nanoTime, Life life, Tally tally,
+    static ClientSide prepare(Config config, EventLoop loop, LongSupplier nanoTime, Lifecycle life, GatewayMetrics tally,
             Consumer<String> out) {
-        int most = connectionsMost(config.sockets());
+        int most = connectionsMost(config.maxSockets());
         return CompletableFuture.supplyAsync(() -> {
             Gateway gateway = new Gateway(config, loop, nanoTime, new HeadroomBalancer(), tally, most, openMost(most), out);
-            if (config.admin() != null) {
+            if (config.adminAddress() != null) {
                 gateway.keepFigures();
             }
             return new ClientSide(loop, gateway, config.settings(), most, life);
@@ -189,24 +189,24 @@
     }
 
     /** Lets clients come, on the passed socket where there is one; throws IllegalArgumentException where that can't be. */
-    static void listen(ClientSide clients, Config config, ServerSocketChannel passed, EventLoop loop, Life life,
+    static void listen(ClientSide clients, Config config, ServerSocketChannel passed, EventLoop loop, Lifecycle life,
             Consumer<String> out) {
         ChannelFuture listening = begin(clients, config, passed);
         for (int tries = 1; !listening.isSuccess() && tries < LISTEN_TRIES; tries++) {
-            out.accept("not listening yet on " + config.listen() + ": " + listening.cause().getMessage());
+            out.accept("not listening yet on " + config.listenAddress() + ": " + listening.cause().getMessage());
             rest();
             listening = begin(clients, config, passed);
         }
         if (!listening.isSuccess()) {
-            throw new IllegalArgumentException("no listening on " + config.listen() + ": "
+            throw new IllegalArgumentException("no listening on " + config.listenAddress() + ": "
                     + listening.cause().getMessage(), listening.cause());
         }
         out.accept("listening on " + clients.address());
-        life.started(() -> loop.execute(clients::drainOrNot));
+        life.markStarted(() -> loop.execute(clients::drainOrNot));
     }
 
     private static ChannelFuture begin(ClientSide clients, Config config, ServerSocketChannel passed) {
-        return (passed == null ? clients.listen(config.listen()) : clients.accept(passed)).awaitUninterruptibly();
+        return (passed == null ? clients.listen(config.listenAddress()) : clients.accept(passed)).awaitUninterruptibly();
     }
 
     private static void rest() {
--- a/src/main/java/mastdrift/net/MonitoredReads.java
+++ b/src/main/java/mastdrift/net/MonitoredReads.java
@@ -17,8 +17,8 @@
 
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) {
-        long begunAt = monitor.begin();
+        long begunAt = monitor.taskStarted();
         context.fireChannelRead(message);
-        monitor.ended(task, begunAt);
+        monitor.taskEnded(task, begunAt);
     }
 }
--- a/src/main/java/mastdrift/net/Rehearsal.java
+++ b/src/main/java/mastdrift/net/WarmUp.java
@@ -39,7 +39,7 @@
     cold virtual machine takes 5 ms of its core for each request at first, so that requests would queue past their
     deadlines. The requests go to a second gateway, on the same address and on an event loop that ends with it, which
     sends them to a stub of the hosts; no real host or discovery is contacted. */
-final class Rehearsal {
+final class WarmUp {
 
     private static final int REQUESTS = 100;
     private static final int HOSTS = 8;
@@ -49,14 +49,14 @@
     private static final int PATIENCE_MILLIS = 1000;
     private static final int FAILURES_MOST = 60;
 
-    private Rehearsal() { }
+    private WarmUp() { }
 
     /** Runs the warm-up once, with requests to the admin address where one is given. A warm-up that fails only leaves
         the start slower. Long bodies are used in the build only, to get their classes into the archive: at a start they
         would take too long. */
-    static void play(Config config, InetSocketAddress admin, boolean longToo, EventLoop loop,
+    static void run(Config config, InetSocketAddress admin, boolean longToo, EventLoop loop,
             Consumer<String> out) {
-        InetSocketAddress any = new InetSocketAddress(config.listen().getAddress(), 0);
+        InetSocketAddress any = new InetSocketAddress(config.listenAddress().getAddress(), 0);
         try {
             Channel host = new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
                     .childHandler(new ChannelInitializer<Channel>() {
@@ -69,14 +69,14 @@
             InetSocketAddress at = (InetSocketAddress) host.localAddress();
             List<HostList.Entry> hosts = IntStream.range(0, HOSTS).mapToObj(i -> new HostList.Entry(
                     new Host("rehearsal-" + i, config.settings().topology().zone(), 0, "", 1, HostState.IN_SERVICE, 0), at)).toList();
-            Config rehearsed = new Config(any, false, null, at, config.sockets(), new HostList(0, true, hosts),
+            Config rehearsed = new Config(any, false, null, at, config.maxSockets(), new HostList(0, true, hosts),
                     config.settings());
-            Life life = new Life();
+            Lifecycle life = new Lifecycle();
             ClientSide clients = CompletableFuture.supplyAsync(() -> new ClientSide(loop, new Gateway(rehearsed, loop,
-                    System::nanoTime, new HeadroomBalancer(), rehearsed.tally(), HOSTS * 2, HOSTS, line -> { }), config.settings(), HOSTS, life), loop)
+                    System::nanoTime, new HeadroomBalancer(), rehearsed.newMetrics(), HOSTS * 2, HOSTS, line -> { }), config.settings(), HOSTS, life), loop)
                     .join();
             clients.listen(any).sync();
-            life.started(() -> { });
+            life.markStarted(() -> { });
             askAll(clients.address(), config, longToo);
             if (admin != null) {
                 call(admin, "GET /status");
@@ -132,7 +132,7 @@
         boolean isLong = longToo && !safe && number % LONG_EVERY == LONG_EVERY - 1;
         return (number == 0 ? "GET /ready" : safe ? "GET /api" : "POST /api")
                 + " HTTP/1.1\r\nHost: rehearsal\r\nX-Trace-Id: " + number + "\r\nX-Qos: " + type.name()
-                + "\r\nX-Customer: " + tenant + "\r\nX-Object: " + number % HOSTS + "\r\n" + HostPool.EXPIRES + ": "
+                + "\r\nX-Customer: " + tenant + "\r\nX-Object: " + number % HOSTS + "\r\n" + HostConnectionPool.EXPIRES_HEADER + ": "
                 + PATIENCE_MILLIS + (type.idempotency() == Idempotency.KEYED ? "\r\nIdempotency-Key: " + number : "")
                 + "\r\nContent-Length: " + (safe ? "0\r\n\r\n" : isLong ? LONG_BODY_BYTES + "\r\n\r\n" + longBody
                 : "4\r\n\r\nbody");
--- a/src/test/java/mastdrift/net/AdminTest.java
+++ b/src/test/java/mastdrift/net/AdminServerTest.java
@@ -36,7 +36,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** Tests the requests of operators and the responses to them. */
-class AdminTest {
+class AdminServerTest {
 
     @TempDir
     private Path folder;
@@ -81,9 +81,9 @@
     void callsAreAnsweredBeforeTheStartAndWhileTheGatewayIsBusy() throws Exception {
         try (Server discovery = discovery()) {
             EventLoop loop = Main.loop();
-            Life life = new Life();
+            Lifecycle life = new Lifecycle();
             Config config = Config.read(called(discovery));
-            Admin admin = Admin.open(config.admin(), loop, life, config.tally());
+            AdminServer admin = AdminServer.start(config.adminAddress(), loop, life, config.newMetrics());
             try (Socket early = new Socket(admin.address().getAddress(), admin.address().getPort())) {
                 write(early, "GET /status HTTP/1.1\r\nHost: s\r\n\r\n");
                 assertEquals(503, Loopback.read(early).status());
@@ -112,7 +112,7 @@
     void silentCallersAreClosedAndDoNotKeepOthersOut() throws Exception {
         try (Server discovery = discovery(); Node node = new Node(called(discovery))) {
             List<Socket> silent = new ArrayList<>();
-            for (int i = 0; i < 3 * Admin.CONNECTIONS_MOST; i++) {
+            for (int i = 0; i < 3 * AdminServer.MAX_CONNECTIONS; i++) {
                 Socket caller = new Socket(node.admin.address().getAddress(), node.admin.address().getPort());
                 caller.setSoTimeout(Loopback.WAIT_SECONDS * 1000);
                 write(caller, i % 2 == 0 ? "" : "GET /sta");
@@ -211,18 +211,18 @@
     /** Guards against a standby request during the start that is lost, and against a request that undoes a stop. */
     @Test
     void aStandbyDuringTheStartHoldsAndNothingComesBackFromAStop() {
-        Life life = new Life();
-        assertEquals(Life.State.STARTING, life.state());
-        assertTrue(life.standby(true));
-        assertEquals(Life.State.STARTING, life.state());
-        List<Life.State> heard = new ArrayList<>();
-        life.started(() -> heard.add(life.state()));
-        assertTrue(life.standby(false));
+        Lifecycle life = new Lifecycle();
+        assertEquals(Lifecycle.State.STARTING, life.state());
+        assertTrue(life.setStandby(true));
+        assertEquals(Lifecycle.State.STARTING, life.state());
+        List<Lifecycle.State> heard = new ArrayList<>();
+        life.markStarted(() -> heard.add(life.state()));
+        assertTrue(life.setStandby(false));
         life.stop();
-        assertTrue(life.standby(true));
-        assertEquals(false, life.standby(false));
-        assertEquals(Life.State.STOPPING, life.state());
-        assertEquals(List.of(Life.State.STANDBY, Life.State.ACTIVE), heard);
+        assertTrue(life.setStandby(true));
+        assertEquals(false, life.setStandby(false));
+        assertEquals(Lifecycle.State.STOPPING, life.state());
+        assertEquals(List.of(Lifecycle.State.STANDBY, Lifecycle.State.ACTIVE), heard);
     }
 
     @Test
@@ -234,7 +234,7 @@
             EventLoop loop = Main.loop();
             try {
                 IllegalArgumentException fault = assertThrows(IllegalArgumentException.class,
-                        () -> Admin.open(at, loop, new Life(), config.tally()));
+                        () -> AdminServer.start(at, loop, new Lifecycle(), config.newMetrics()));
                 assertTrue(fault.getMessage().startsWith("no listening for operators on"), fault.getMessage());
             } finally {
                 loop.parent().shutdownGracefully(0, 0, TimeUnit.SECONDS).syncUninterruptibly();
--- a/src/test/java/mastdrift/net/ReloaderTest.java
+++ b/src/test/java/mastdrift/net/ConfigReloaderTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Tests the order of concurrent reloads and the retries of a file that can't be read. */
-class ReloaderTest {
+class ConfigReloaderTest {
 
     private static final InetSocketAddress OLDER = new InetSocketAddress(1);
     private static final InetSocketAddress NEWER = new InetSocketAddress(2);
@@ -28,17 +28,17 @@
         Queue<InetSocketAddress> file = new ArrayDeque<>(List.of(OLDER, NEWER));
         CountDownLatch firstHasRead = new CountDownLatch(1);
         CountDownLatch secondIsThere = new CountDownLatch(1);
-        Reloader reloader = new Reloader(file::remove, read -> {
+        ConfigReloader reloader = new ConfigReloader(file::remove, read -> {
             if (read == OLDER) {
                 firstHasRead.countDown();
                 await(secondIsThere);
             }
             taken.add(read);
         }, failed::add);
-        Thread first = new Thread(reloader::signalled);
+        Thread first = new Thread(reloader::signalReceived);
         first.start();
         await(firstHasRead);
-        Thread second = new Thread(reloader::signalled);
+        Thread second = new Thread(reloader::signalReceived);
         second.start();
         while (second.getState() != Thread.State.BLOCKED && second.isAlive()) {
             Thread.onSpinWait();
@@ -71,14 +71,14 @@
 
     @Test
     void aFileThatCannotBeReadForAMomentIsReadAgain() {
-        new Reloader(failing(3), taken::add, failed::add, millis -> { }).signalled();
+        new ConfigReloader(failing(3), taken::add, failed::add, millis -> { }).signalReceived();
         assertEquals(List.of(NEWER), taken);
         assertEquals(List.of(), failed);
     }
 
     @Test
     void aFileThatStaysUnreadableIsToldOnceAndChangesNothing() {
-        new Reloader(failing(Integer.MAX_VALUE), taken::add, failed::add, millis -> { }).signalled();
+        new ConfigReloader(failing(Integer.MAX_VALUE), taken::add, failed::add, millis -> { }).signalReceived();
         assertEquals(List.of(), taken);
         assertEquals(List.of("too many open files"), failed);
     }
--- a/src/test/java/mastdrift/net/DialerTest.java
+++ b/src/test/java/mastdrift/net/ConnectorTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Tests that results of connecting are reported on the event loop, and which failures count as local. */
-class DialerTest {
+class ConnectorTest {
 
     private record Told(Throwable cause, boolean onLoop) { }
 
@@ -32,7 +32,7 @@
                     .handler(new ChannelInboundHandlerAdapter());
             CompletableFuture<Told> told = new CompletableFuture<>();
             loop.execute(() -> {
-                Channel dialled = Dialer.dial(bootstrap, loop, at, new Dialer.Result() {
+                Channel dialled = Connector.connect(bootstrap, loop, at, new Connector.ConnectListener() {
                     @Override
                     public void connected(Channel channel) {
                         told.complete(new Told(null, loop.inEventLoop()));
@@ -45,7 +45,7 @@
                 });
                 assertFalse(told.isDone(), "reported before connect returned");
                 if (!dialled.isOpen()) {
-                    Dialer.close(dialled);
+                    Connector.close(dialled);
                 }
             });
             return told.get(Loopback.WAIT_SECONDS, TimeUnit.SECONDS);
@@ -61,7 +61,7 @@
             throw new ChannelException("no descriptor left");
         }, new InetSocketAddress(InetAddress.getLoopbackAddress(), 1));
         assertTrue(told.onLoop);
-        assertTrue(Dialer.isLocal(told.cause), told.cause.toString());
+        assertTrue(Connector.isLocalFailure(told.cause), told.cause.toString());
     }
 
     @Test
@@ -73,15 +73,15 @@
         server.close();
         Told refused = dial(NioSocketChannel::new, at);
         assertTrue(refused.onLoop);
-        assertFalse(Dialer.isLocal(refused.cause), refused.cause.toString());
+        assertFalse(Connector.isLocalFailure(refused.cause), refused.cause.toString());
     }
 
     @Test
     void onlyWhatThisMachineLacksIsLocal() {
-        assertTrue(Dialer.isLocal(new BindException("Cannot assign requested address")));
-        assertTrue(Dialer.isLocal(new SocketException("Network is unreachable")));
-        assertTrue(Dialer.isLocal(new ChannelException("Failed to open a socket.")));
-        assertFalse(Dialer.isLocal(new ConnectException("Connection refused")));
-        assertFalse(Dialer.isLocal(new NoRouteToHostException("No route to host")));
+        assertTrue(Connector.isLocalFailure(new BindException("Cannot assign requested address")));
+        assertTrue(Connector.isLocalFailure(new SocketException("Network is unreachable")));
+        assertTrue(Connector.isLocalFailure(new ChannelException("Failed to open a socket.")));
+        assertFalse(Connector.isLocalFailure(new ConnectException("Connection refused")));
+        assertFalse(Connector.isLocalFailure(new NoRouteToHostException("No route to host")));
     }
 }
--- a/src/test/java/mastdrift/net/EndingsTest.java
+++ b/src/test/java/mastdrift/net/EndingsTest.java
@@ -90,7 +90,7 @@
             tell(await(discovery.received).socket(), list(2, false, up("s2", late.address())));
             untilLogged(node, "list 2");
             taken.socket().close();  // it may have run
-            until(() -> counted(node, Tally.Count.HOST_DIALS) == 2);
+            until(() -> counted(node, GatewayMetrics.Counter.HOST_DIALS) == 2);
             node.jump(5_000);
             assertEquals(-1, late.open().getInputStream().read());
             assertEquals(502, Loopback.read(client).status());
@@ -109,14 +109,14 @@
                 Node node = node(discovery, settings, up("s1", late.address()))) {
             Socket client = node.connect();
             write(client, read(60_000));
-            until(() -> counted(node, Tally.Count.HOST_DIALS) == 1);
+            until(() -> counted(node, GatewayMetrics.Counter.HOST_DIALS) == 1);
             if (reset) {
                 client.setSoLinger(true, 0);
             }
             client.close();
-            until(() -> counted(node, Tally.Count.DEPARTED) == 1);
+            until(() -> counted(node, GatewayMetrics.Counter.DEPARTED) == 1);
             assertNothingIsOwed(node);  // the connection is not waited for either
-            assertEquals(0, counted(node, Tally.Count.ATTEMPTS_WRITTEN));
+            assertEquals(0, counted(node, GatewayMetrics.Counter.ATTEMPTS_WRITTEN));
         }
     }
 
@@ -130,14 +130,14 @@
                 Node node = node(discovery, settings, up("s1", late.address()))) {
             Socket client = node.connect();
             write(client, post("start", 60_000, "x".repeat(length)).substring(0, length));  // its end is missing
-            until(() -> counted(node, Tally.Count.HOST_DIALS) == 1);
+            until(() -> counted(node, GatewayMetrics.Counter.HOST_DIALS) == 1);
             if (reset) {
                 client.setSoLinger(true, 0);
             }
             client.close();
-            until(() -> counted(node, Tally.Count.DEPARTED) == 1);
+            until(() -> counted(node, GatewayMetrics.Counter.DEPARTED) == 1);
             assertNothingIsOwed(node);
-            assertEquals(0, counted(node, Tally.Count.ATTEMPTS_WRITTEN));
+            assertEquals(0, counted(node, GatewayMetrics.Counter.ATTEMPTS_WRITTEN));
         }
     }
 
@@ -149,10 +149,10 @@
             write(client, read(20_000) + read(20_000).replace("9b1f", "9b20"));
             await(host.received);
             client.close();
-            until(() -> counted(node, Tally.Count.DEPARTED) == 1);
+            until(() -> counted(node, GatewayMetrics.Counter.DEPARTED) == 1);
             assertNothingIsOwed(node);
-            assertEquals(1, counted(node, Tally.Count.TAKEN));
-            assertEquals(1, counted(node, Tally.Count.ATTEMPTS_WRITTEN));
+            assertEquals(1, counted(node, GatewayMetrics.Counter.TAKEN));
+            assertEquals(1, counted(node, GatewayMetrics.Counter.ATTEMPTS_WRITTEN));
         }
     }
 
@@ -175,9 +175,9 @@
                 client.setSoLinger(true, 0);
             }
             client.close();
-            until(() -> counted(node, Tally.Count.DEPARTED) == 1);
+            until(() -> counted(node, GatewayMetrics.Counter.DEPARTED) == 1);
             assertNothingIsOwed(node);
-            assertEquals(1, counted(node, Tally.Count.ATTEMPTS_WRITTEN));
+            assertEquals(1, counted(node, GatewayMetrics.Counter.ATTEMPTS_WRITTEN));
         }
     }
 
@@ -229,7 +229,7 @@
             });
             assertEquals(200, node.ask("GET /ready HTTP/1.1\r\n\r\n").status());  // all that lay there has been read
             assertNothingIsOwed(node);
-            assertEquals(0, counted(node, Tally.Count.TAKEN));
+            assertEquals(0, counted(node, GatewayMetrics.Counter.TAKEN));
             assertEquals(0, host.received.size());
         }
     }
@@ -431,7 +431,7 @@
                 Node node = node(discovery, SETTINGS, up("s1", late.address()))) {
             Socket client = node.connect();
             write(client, post("start", 20_000, "x".repeat(120_000)));
-            until(() -> counted(node, Tally.Count.HOST_DIALS) == 1);
+            until(() -> counted(node, GatewayMetrics.Counter.HOST_DIALS) == 1);
             node.jump(15_000);
             assertEquals(120_000, Loopback.read(late.open()).body().length);
             assertTrue(owesNothingAfter(node, 7_000));
@@ -478,7 +478,7 @@
                 Thread.sleep(5);
             }
             assertNothingIsOwed(node);
-            assertEquals(1, counted(node, Tally.Count.TAKEN));
+            assertEquals(1, counted(node, GatewayMetrics.Counter.TAKEN));
         }
     }
 
@@ -496,7 +496,7 @@
             write(resting, read(20_000));
             assertTrue(stopped.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS));
             assertNothingIsOwed(node);
-            assertEquals(1, counted(node, Tally.Count.TAKEN));
+            assertEquals(1, counted(node, GatewayMetrics.Counter.TAKEN));
             assertEquals(1, host.received.size());
         }
     }
@@ -543,7 +543,7 @@
         }
     }
 
-    private static long counted(Node node, Tally.Count count) {
-        return node.clients.gateway().tally().sum(count);
+    private static long counted(Node node, GatewayMetrics.Counter count) {
+        return node.clients.gateway().tally().count(count);
     }
 }
--- a/src/test/java/mastdrift/net/LifeTest.java
+++ b/src/test/java/mastdrift/net/GatewayLifecycleTest.java
@@ -50,7 +50,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Tests a gateway's start, its host lists from discovery, its limits, its reloads and its stop. */
-class LifeTest {
+class GatewayLifecycleTest {
 
     private static final int LIFE_SECONDS = 60;
 
@@ -398,7 +398,7 @@
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         try (Server discovery = discovery(); Server one = host("one")) {
             Config config = Config.read(environment(folder, discovery, list(1, true, up("s1", one)), SETTINGS));
-            Rehearsal.play(config, null, longToo, Main.loop(), new PrintStream(out, true, StandardCharsets.UTF_8)::println);
+            WarmUp.run(config, null, longToo, Main.loop(), new PrintStream(out, true, StandardCharsets.UTF_8)::println);
             assertEquals("", out.toString(StandardCharsets.UTF_8));
             assertTrue(one.accepted.isEmpty() && discovery.accepted.isEmpty());
         }
--- a/src/test/java/mastdrift/net/GatewayTest.java
+++ b/src/test/java/mastdrift/net/GatewayTest.java
@@ -96,7 +96,7 @@
                 });
         try (Server discovery = discovery()) {
             Config config = Config.read(environment(folder, discovery, list(1, true), SETTINGS));
-            loop.submit(() -> new Gateway(config, loop, System::nanoTime, module, config.tally(), 8, 8, new PrintStream(log,
+            loop.submit(() -> new Gateway(config, loop, System::nanoTime, module, config.newMetrics(), 8, 8, new PrintStream(log,
                     true, StandardCharsets.UTF_8)::println).take(client, new DefaultFullHttpRequest(HttpVersion.HTTP_1_1,
                     HttpMethod.GET, "/api"), null, "read", "acme", null, left, false, 0)).sync();
         }
@@ -190,13 +190,13 @@
     /** Guards against a log that leaves an operator guessing where requests went. */
     @Test
     void theTallyTellsWhatWasCountedOnce() {
-        Tally tally = new Tally(List.of());
-        tally.add(Tally.Count.TAKEN);
-        tally.add(Tally.Count.TAKEN);
-        tally.add(Balancer.Outcome.SHED);
-        tally.level(Tally.Level.OPEN_REQUESTS, 2);
-        tally.level(Tally.Level.OPEN_REQUESTS, 1);
-        assertEquals("counts taken=2; attempts shed=1; most at once open_requests=2", tally.line());
-        assertEquals("", tally.line());
+        GatewayMetrics tally = new GatewayMetrics(List.of());
+        tally.increment(GatewayMetrics.Counter.TAKEN);
+        tally.increment(GatewayMetrics.Counter.TAKEN);
+        tally.increment(Balancer.Outcome.SHED);
+        tally.recordPeak(GatewayMetrics.Peak.OPEN_REQUESTS, 2);
+        tally.recordPeak(GatewayMetrics.Peak.OPEN_REQUESTS, 1);
+        assertEquals("counts taken=2; attempts shed=1; most at once open_requests=2", tally.logLine());
+        assertEquals("", tally.logLine());
     }
 }
--- a/src/test/java/mastdrift/net/HostPoolTest.java
+++ b/src/test/java/mastdrift/net/HostConnectionPoolTest.java
@@ -32,7 +32,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Tests the pool of connections to hosts, on a clock that the test sets. */
-class HostPoolTest {
+class HostConnectionPoolTest {
 
     private static final long DIAL = 20_000_000;
     private static final long IDLE = 5_000_000;
@@ -62,11 +62,11 @@
         return loop.submit(what).get(Loopback.WAIT_SECONDS, TimeUnit.SECONDS);
     }
 
-    private HostPool pool(int most) throws Exception {
+    private HostConnectionPool pool(int most) throws Exception {
         return onLoop(() -> {
-            Tally tally = new Tally(List.of());
+            GatewayMetrics tally = new GatewayMetrics(List.of());
             EventLog log = new EventLog(clock::get, line -> { });
-            HostPool pool = new HostPool(loop, clock::get, new LoopMonitor(clock::get, () -> null, tally, log), DIAL, IDLE, GRACE,
+            HostConnectionPool pool = new HostConnectionPool(loop, clock::get, new LoopMonitor(clock::get, () -> null, tally, log), DIAL, IDLE, GRACE,
                     most, tally, log);
             update(pool, list(1, true, entry("s1", one.address(), "a", "in_service"),
                     entry("s2", two.address(), "a", "in_service")));
@@ -74,23 +74,23 @@
         });
     }
 
-    private static void update(HostPool pool, String json) throws Exception {
+    private static void update(HostConnectionPool pool, String json) throws Exception {
         pool.update(HostList.parse(JSON.std.anyFrom(json)));
     }
 
-    private HostPool.Attempt send(HostPool pool, String uid) {
+    private HostConnectionPool.Attempt send(HostConnectionPool pool, String uid) {
         FullHttpRequest message = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/api");
         return pool.send(uid, message, LONG, (outcome, answer) -> outcomes.add(outcome));
     }
 
-    private Outcome outcome(HostPool pool, String uid) throws Exception {
+    private Outcome outcome(HostConnectionPool pool, String uid) throws Exception {
         onLoop(() -> send(pool, uid));
         return await(outcomes);
     }
 
     @Test
     void aConnectionIsUsedAgain() throws Exception {
-        HostPool pool = pool(10);
+        HostConnectionPool pool = pool(10);
         assertEquals(Outcome.DELIVERED, outcome(pool, "s1"));
         assertEquals(Outcome.DELIVERED, outcome(pool, "s1"));
         assertEquals(1, one.accepted.size());
@@ -99,7 +99,7 @@
     /** Guards against a gateway and its successor that together hold more connections than one may. */
     @Test
     void whoLeavesBesideASuccessorKeepsNoIdleConnections() throws Exception {
-        HostPool pool = pool(10);
+        HostConnectionPool pool = pool(10);
         assertEquals(Outcome.DELIVERED, outcome(pool, "s1"));
         onLoop(() -> {
             pool.retire();
@@ -113,7 +113,7 @@
     /** Guards against a request on an idle connection that the host is about to close, which ends with a reset. */
     @Test
     void anAgedIdleConnectionIsNotUsedAgain() throws Exception {
-        HostPool pool = pool(10);
+        HostConnectionPool pool = pool(10);
         assertEquals(Outcome.DELIVERED, outcome(pool, "s1"));
         clock.addAndGet(IDLE * 9 / 10);
         assertEquals(Outcome.DELIVERED, outcome(pool, "s1"));
@@ -123,7 +123,7 @@
 
     @Test
     void idleConnectionsCloseWhenAskedTo() throws Exception {
-        HostPool pool = pool(10);
+        HostConnectionPool pool = pool(10);
         outcome(pool, "s1");
         onLoop(() -> {
             pool.closeIdle("s1");
@@ -135,7 +135,7 @@
     /** Guards against a request that is sent after the drain grace since it waited for its connection meanwhile. */
     @Test
     void anAttemptThatWaitsForAConnectionEndsWithTheGrace() throws Exception {
-        HostPool pool = pool(10);
+        HostConnectionPool pool = pool(10);
         onLoop(() -> {
             send(pool, "s1");
             update(pool, list(2, false, entry("s1", one.address(), "a", "terminating")));
@@ -148,7 +148,7 @@
 
     @Test
     void aHostThatIsGoneGetsNothing() throws Exception {
-        HostPool pool = pool(10);
+        HostConnectionPool pool = pool(10);
         outcome(pool, "s1");
         onLoop(() -> {
             update(pool, list(2, true, entry("s2", two.address(), "a", "in_service")));
@@ -162,7 +162,7 @@
     /** Guards against exceeding the bound of connections: idle ones are closed to make room, those in use are kept. */
     @Test
     void atTheBoundTheEldestIdleConnectionMakesRoom() throws Exception {
-        HostPool pool = pool(1);
+        HostConnectionPool pool = pool(1);
         assertEquals(Outcome.DELIVERED, outcome(pool, "s1"));
         onLoop(() -> {
             send(pool, "s2");
@@ -176,9 +176,9 @@
 
     @Test
     void aCancelledAttemptEndsOnceAndNothingIsSent() throws Exception {
-        HostPool pool = pool(10);
+        HostConnectionPool pool = pool(10);
         onLoop(() -> {
-            HostPool.Attempt attempt = send(pool, "s1");
+            HostConnectionPool.Attempt attempt = send(pool, "s1");
             attempt.cancel();
             attempt.cancel();
             return null;
@@ -188,8 +188,8 @@
         assertTrue(one.received.isEmpty() && outcomes.isEmpty());
     }
 
-    private HostPool poolOf(Server host) throws Exception {
-        HostPool pool = pool(10);
+    private HostConnectionPool poolOf(Server host) throws Exception {
+        HostConnectionPool pool = pool(10);
         onLoop(() -> {
             update(pool, list(2, false, entry("s1", host.address(), "a", "in_service")));
             return null;
@@ -203,7 +203,7 @@
     @ValueSource(strings = {"HTTP/1.1 200 OK~Content-Length: 1~~1", "noise", "HTTP/1.1 200 OK~Content-Length: 9~~"})
     void aConnectionOnWhichMoreCameIsNotUsedAgain(String more) throws Exception {
         try (Server host = new Server(m -> write(m.socket(), answer("200 OK", "1") + more.replace("~", "\r\n")))) {
-            HostPool pool = poolOf(host);
+            HostConnectionPool pool = poolOf(host);
             assertEquals(Outcome.DELIVERED, outcome(pool, "s1"));
             assertEquals(Outcome.DELIVERED, outcome(pool, "s1"));
             assertEquals(2, host.accepted.size());
@@ -214,7 +214,7 @@
     @Test
     void aByteOnAnIdleConnectionClosesIt() throws Exception {
         try (Server host = host("1")) {
-            HostPool pool = poolOf(host);
+            HostConnectionPool pool = poolOf(host);
             assertEquals(Outcome.DELIVERED, outcome(pool, "s1"));
             write(await(host.received).socket(), "H");
             assertNotNull(await(host.ended));
@@ -227,7 +227,7 @@
     @Test
     void whereAStrayWasSeenConnectionsRestBehindAnAnswer() throws Exception {
         try (Server host = host("1")) {
-            HostPool pool = poolOf(host);
+            HostConnectionPool pool = poolOf(host);
             assertEquals(Outcome.DELIVERED, outcome(pool, "s1"));
             assertEquals(Outcome.DELIVERED, outcome(pool, "s1"));
             assertEquals(1, host.accepted.size());
@@ -255,7 +255,7 @@
         "HTTP/1.1 101 Switching Protocols~Upgrade: other~Connection: upgrade~~HTTP/1.1 200 OK~Content-Length: 1~~1"})
     void aSpoiltAnswerIsADroppedAttempt(String spoilt) throws Exception {
         try (Server host = new Server(m -> write(m.socket(), spoilt.replace("~", "\r\n")))) {
-            HostPool pool = poolOf(host);
+            HostConnectionPool pool = poolOf(host);
             assertEquals(Outcome.DROPPED, outcome(pool, "s1"));
             assertNotNull(await(host.ended));
         }
@@ -276,7 +276,7 @@
     void interimAnswersAheadChangeNothing() throws Exception {
         try (Server host = new Server(m -> write(m.socket(), "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n"
                 + "HTTP/1.1 102 Processing\r\n\r\n" + answer("200 OK", "1")))) {
-            HostPool pool = poolOf(host);
+            HostConnectionPool pool = poolOf(host);
             assertEquals(Outcome.DELIVERED, outcome(pool, "s1"));
             assertEquals(Outcome.DELIVERED, outcome(pool, "s1"));
             assertEquals(1, host.accepted.size());
@@ -288,7 +288,7 @@
     @Test
     void aConnectionToWhereAHostWasIsNotUsedAgain() throws Exception {
         try (Server old = new Server(message -> { })) {
-            HostPool pool = poolOf(old);
+            HostConnectionPool pool = poolOf(old);
             onLoop(() -> send(pool, "s1"));
             Message held = await(old.received);
             onLoop(() -> {
@@ -305,7 +305,7 @@
     /** Guards against failed connection attempts that use up the bound of connections. */
     @Test
     void aFailedDialFreesItsPlace() throws Exception {
-        HostPool pool = pool(1);
+        HostConnectionPool pool = pool(1);
         one.close();
         assertEquals(Outcome.DIAL_FAILED, outcome(pool, "s1"));
         assertEquals(Outcome.DELIVERED, outcome(pool, "s2"));
--- a/src/test/java/mastdrift/net/HostStartsTest.java
+++ b/src/test/java/mastdrift/net/HostStartTimesTest.java
@@ -6,7 +6,7 @@
 
 /** Tests the conversion of host start times. The gateway's clock starts at the Unix time and is steady; the machine's
     clock may be stepped. */
-class HostStartsTest {
+class HostStartTimesTest {
 
     private static final long SECOND = 1_000_000;
     private static final long HOUR = 3600 * SECOND;
@@ -15,16 +15,16 @@
     private long now = BEGIN + 100 * SECOND;
     private long step;
     private int contradictions;
-    private final HostStarts starts = new HostStarts(() -> now, () -> now + step, () -> contradictions++);
+    private final HostStartTimes starts = new HostStartTimes(() -> now, () -> now + step, () -> contradictions++);
 
     private long ageOf(String uid, long told) {
-        return now - starts.place(uid, told);
+        return now - starts.toLocalClock(uid, told);
     }
 
     @Test
     void aStartIsPlacedByTheClockThatAllMachinesRead() {
         assertEquals(3 * SECOND, ageOf("a", now - 3 * SECOND));
-        assertEquals(HostStarts.LONG_AGO, starts.place("b", 0));
+        assertEquals(HostStartTimes.LONG_AGO, starts.toLocalClock("b", 0));
         assertEquals(0, contradictions);
     }
 
@@ -43,19 +43,19 @@
     @Test
     void aStartThatHasBeenPlacedDoesNotMoveWithAStep() {
         long told = now - 2 * SECOND;
-        long placed = starts.place("a", told);
+        long placed = starts.toLocalClock("a", told);
         step = HOUR;
         now += 5 * SECOND;
-        assertEquals(placed, starts.place("a", told));
+        assertEquals(placed, starts.toLocalClock("a", told));
         step = -HOUR;
-        assertEquals(placed, starts.place("a", told));
+        assertEquals(placed, starts.toLocalClock("a", told));
     }
 
     /** The gateway's clock was an hour ahead when it started, so that a new host in a list looks an hour old. */
     @Test
     void whatIsNewInAListAndLooksOldCountsAsJustStarted() {
         assertEquals(HOUR, ageOf("there-before", now - HOUR));
-        starts.heard();
+        starts.listReceived();
         now += 2 * SECOND;
         assertEquals(0, ageOf("new", now - HOUR));
         assertEquals(1, contradictions);
@@ -75,9 +75,9 @@
     @Test
     void whoComesBackWithTheSameStartKeepsIt() {
         long told = now - HOUR;
-        long placed = starts.place("a", told);
-        starts.heard();
+        long placed = starts.toLocalClock("a", told);
+        starts.listReceived();
         now += 60 * SECOND;
-        assertEquals(placed, starts.place("a", told));
+        assertEquals(placed, starts.toLocalClock("a", told));
     }
 }
--- a/src/test/java/mastdrift/net/LifeModelTest.java
+++ b/src/test/java/mastdrift/net/LifecycleModelTest.java
@@ -8,37 +8,37 @@
 import org.junit.jupiter.api.Test;
 
 /** Model test of the lifecycle: every sequence of up to eight calls, against the rules of the operations manual. */
-class LifeModelTest {
+class LifecycleModelTest {
 
     private static final int DEPTH = 8;
 
     private enum Event { STARTED, STANDBY, ACTIVE, STOP }
 
     /** The model: a stop is final, the latest call of standby or active holds whenever it came, a start comes once. */
-    private static Life.State expected(List<Event> path) {
+    private static Lifecycle.State expected(List<Event> path) {
         if (path.contains(Event.STOP)) {
-            return Life.State.STOPPING;
+            return Lifecycle.State.STOPPING;
         }
         if (!path.contains(Event.STARTED)) {
-            return Life.State.STARTING;
+            return Lifecycle.State.STARTING;
         }
         int standby = path.lastIndexOf(Event.STANDBY);
-        return standby > path.lastIndexOf(Event.ACTIVE) ? Life.State.STANDBY : Life.State.ACTIVE;
+        return standby > path.lastIndexOf(Event.ACTIVE) ? Lifecycle.State.STANDBY : Lifecycle.State.ACTIVE;
     }
 
     private static int explore(List<Event> path) {
-        Life life = new Life();
+        Lifecycle life = new Lifecycle();
         AtomicInteger told = new AtomicInteger();
         int calls = 0;
         boolean started = false;
         boolean stopped = false;
         for (Event event : path) {
             switch (event) {
-                case STARTED -> life.started(told::incrementAndGet);
+                case STARTED -> life.markStarted(told::incrementAndGet);
                 case STOP -> life.stop();
                 default -> {
                     boolean wanted = event == Event.STANDBY;
-                    assertEquals(!stopped || wanted, life.standby(wanted), path.toString());
+                    assertEquals(!stopped || wanted, life.setStandby(wanted), path.toString());
                 }
             }
             started |= event == Event.STARTED;
@@ -46,7 +46,7 @@
             calls += event == Event.STARTED || started && !stopped && event != Event.STOP ? 1 : 0;
         }
         assertEquals(expected(path), life.state(), path.toString());
-        assertEquals(expected(path) == Life.State.ACTIVE, life.ready(), path.toString());
+        assertEquals(expected(path) == Lifecycle.State.ACTIVE, life.isReady(), path.toString());
         assertEquals(calls, told.get(), "notifications: " + path);
         int count = 1;
         for (Event next : Event.values()) {
--- a/src/test/java/mastdrift/net/LogWriterTest.java
+++ b/src/test/java/mastdrift/net/LogWriterTest.java
@@ -70,13 +70,13 @@
             }
             return take(bytes, Integer.MAX_VALUE);
         });
-        int total = 3 * LogWriter.QUEUE_CHARS_MOST / 1000;
+        int total = 3 * LogWriter.MAX_QUEUED_CHARS / 1000;
         for (int i = 0; i < total; i++) {
             writer.accept(String.format("%01000d", i));
         }
         assertFalse(writer.flush(1));
         int kept = total - dropped.get();
-        assertTrue(kept > 0 && kept <= LogWriter.QUEUE_CHARS_MOST / 1000, "kept " + kept);
+        assertTrue(kept > 0 && kept <= LogWriter.MAX_QUEUED_CHARS / 1000, "kept " + kept);
         reader.countDown();
         assertTrue(writer.flush(FLUSH_MILLIS));
         writer.accept("the next");
--- a/src/test/java/mastdrift/net/Loopback.java
+++ b/src/test/java/mastdrift/net/Loopback.java
@@ -297,8 +297,8 @@
 
         final EventLoop loop = Main.loop();
         final EventLoop adminLoop = Main.loop();
-        final Life life = new Life();
-        final Admin admin;
+        final Lifecycle life = new Lifecycle();
+        final AdminServer admin;
         final ByteArrayOutputStream log = new ByteArrayOutputStream();
         final ClientSide clients;
         private final List<Socket> sockets = new ArrayList<>();
@@ -311,8 +311,8 @@
         /** On a listening socket that others hold as well. */
         Node(Map<String, String> environment, ServerSocketChannel passed) {
             Config config = Config.read(environment);
-            Tally tally = config.tally();
-            admin = config.admin() == null ? null : Admin.open(config.admin(), adminLoop, life, tally);
+            GatewayMetrics tally = config.newMetrics();
+            admin = config.adminAddress() == null ? null : AdminServer.start(config.adminAddress(), adminLoop, life, tally);
             PrintStream out = new PrintStream(log, true, StandardCharsets.UTF_8);
             clients = Main.prepare(config, loop, () -> System.nanoTime() + ahead.get(), life, tally, out::println);
             Main.awaitFirstList(clients.gateway(), TimeUnit.SECONDS.toMillis(WAIT_SECONDS));
@@ -375,6 +375,6 @@
     }
 
     static InetSocketAddress at(Server server) {
-        return Config.address(server.address());
+        return Config.parseAddress(server.address());
     }
 }
