--- a/src/main/java/mastdrift/net/AdminServer.java
+++ b/src/main/java/mastdrift/net/AdminServer.java
@@ -37,24 +37,24 @@
 
     /** Bound of open connections; they come out of the descriptors that the program reserves for itself. */
     static final int MAX_CONNECTIONS = 12;
-    private static final long CALL_MILLIS = 1500;  // a connection is closed after that time
-    private static final int BODY_BYTES_MOST = 4 << 10;  // no request needs a body
+    private static final long CONNECTION_TIMEOUT_MILLIS = 1500;  // a connection is closed after that time
+    private static final int MAX_BODY_BYTES = 4 << 10;  // no request needs a body
 
     private final EventLoop loop;
-    private final Lifecycle life;
-    private final GatewayMetrics tally;
+    private final Lifecycle lifecycle;
+    private final GatewayMetrics metrics;
     private final Set<Channel> connections = new LinkedHashSet<>();  // oldest first
-    private Channel server;
+    private Channel serverChannel;
 
-    private AdminServer(EventLoop loop, Lifecycle life, GatewayMetrics tally) {
+    private AdminServer(EventLoop loop, Lifecycle lifecycle, GatewayMetrics metrics) {
         this.loop = loop;
-        this.life = life;
-        this.tally = tally;
+        this.lifecycle = lifecycle;
+        this.metrics = metrics;
     }
 
     /** Starts to listen; throws IllegalArgumentException for an address that can't be listened on. */
-    static AdminServer start(InetSocketAddress at, EventLoop loop, Lifecycle life, GatewayMetrics tally) {
-        AdminServer admin = new AdminServer(loop, life, tally);
+    static AdminServer start(InetSocketAddress address, EventLoop loop, Lifecycle lifecycle, GatewayMetrics metrics) {
+        AdminServer admin = new AdminServer(loop, lifecycle, metrics);
         ChannelFuture bound = new ServerBootstrap().group(loop)
                 .channelFactory(() -> new Listener(() -> 0, failure -> { }))
                 .childOption(ChannelOption.TCP_NODELAY, true)
@@ -62,30 +62,30 @@
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        admin.came(channel);
-                        channel.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(BODY_BYTES_MOST, true),
+                        admin.connectionAccepted(channel);
+                        channel.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(MAX_BODY_BYTES, true),
                                 admin.new RequestHandler());
                     }
-                }).bind(at).awaitUninterruptibly();
+                }).bind(address).awaitUninterruptibly();
         if (!bound.isSuccess()) {
-            throw new IllegalArgumentException("no listening for operators on " + at + ": "
+            throw new IllegalArgumentException("no listening for operators on " + address + ": "
                     + bound.cause().getMessage(), bound.cause());
         }
-        admin.server = bound.channel();
+        admin.serverChannel = bound.channel();
         return admin;
     }
 
     InetSocketAddress address() {
-        return (InetSocketAddress) server.localAddress();
+        return (InetSocketAddress) serverChannel.localAddress();
     }
 
-    private void came(Channel channel) {
+    private void connectionAccepted(Channel channel) {
         if (connections.size() >= MAX_CONNECTIONS) {
             connections.iterator().next().close();
         }
         connections.add(channel);
         channel.closeFuture().addListener(closed -> connections.remove(channel));
-        loop.schedule(() -> channel.close(), CALL_MILLIS, TimeUnit.MILLISECONDS);
+        loop.schedule(() -> channel.close(), CONNECTION_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     /** Answers one request and closes the connection. */
@@ -94,16 +94,16 @@
         private boolean answered;
 
         @Override
-        protected void channelRead0(ChannelHandlerContext context, FullHttpRequest call) {
+        protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
             if (answered) {
                 return;
             }
             answered = true;
-            FullHttpResponse answer = call.decoderResult().isSuccess() ? answer(call)
-                    : text(HttpResponseStatus.BAD_REQUEST, "not a call\n");
-            answer.headers().set(HttpHeaderNames.CONTENT_LENGTH, answer.content().readableBytes())
+            FullHttpResponse response = request.decoderResult().isSuccess() ? route(request)
+                    : textResponse(HttpResponseStatus.BAD_REQUEST, "not a call\n");
+            response.headers().set(HttpHeaderNames.CONTENT_LENGTH, response.content().readableBytes())
                     .set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
-            context.writeAndFlush(answer).addListener(ChannelFutureListener.CLOSE);
+            context.writeAndFlush(response).addListener(ChannelFutureListener.CLOSE);
         }
 
         @Override
@@ -112,53 +112,53 @@
         }
     }
 
-    private FullHttpResponse answer(FullHttpRequest call) {
-        return switch (new QueryStringDecoder(call.uri()).rawPath()) {
-            case "/status" -> asked(call, HttpMethod.GET, this::status);
-            case "/status/metrics" -> asked(call, HttpMethod.GET, this::figures);
-            case "/standby" -> asked(call, HttpMethod.POST, () -> turned(life.setStandby(true)));
-            case "/active" -> asked(call, HttpMethod.POST, () -> turned(life.setStandby(false)));
-            default -> text(HttpResponseStatus.NOT_FOUND, "no such call\n");
+    private FullHttpResponse route(FullHttpRequest request) {
+        return switch (new QueryStringDecoder(request.uri()).rawPath()) {
+            case "/status" -> respondIfMethod(request, HttpMethod.GET, this::statusResponse);
+            case "/status/metrics" -> respondIfMethod(request, HttpMethod.GET, this::metricsResponse);
+            case "/standby" -> respondIfMethod(request, HttpMethod.POST, () -> standbyResponse(lifecycle.setStandby(true)));
+            case "/active" -> respondIfMethod(request, HttpMethod.POST, () -> standbyResponse(lifecycle.setStandby(false)));
+            default -> textResponse(HttpResponseStatus.NOT_FOUND, "no such call\n");
         };
     }
 
     /** Carries out a request and returns its response. */
-    private interface Done {
-        FullHttpResponse answer();
+    private interface ResponseSupplier {
+        FullHttpResponse get();
     }
 
-    private static FullHttpResponse asked(FullHttpRequest call, HttpMethod method, Done done) {
-        if (call.method().equals(method)) {
-            return done.answer();
+    private static FullHttpResponse respondIfMethod(FullHttpRequest request, HttpMethod method, ResponseSupplier supplier) {
+        if (request.method().equals(method)) {
+            return supplier.get();
         }
-        FullHttpResponse wrong = text(HttpResponseStatus.METHOD_NOT_ALLOWED, "only " + method + "\n");
-        wrong.headers().set(HttpHeaderNames.ALLOW, method.name());
-        return wrong;
+        FullHttpResponse response = textResponse(HttpResponseStatus.METHOD_NOT_ALLOWED, "only " + method + "\n");
+        response.headers().set(HttpHeaderNames.ALLOW, method.name());
+        return response;
     }
 
-    private FullHttpResponse status() {
-        return text(life.isReady() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE, state());
+    private FullHttpResponse statusResponse() {
+        return textResponse(lifecycle.isReady() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE, stateText());
     }
 
-    private FullHttpResponse figures() {
-        FullHttpResponse figures = text(HttpResponseStatus.OK, MetricsExposition.format(tally));
-        figures.headers().set(HttpHeaderNames.CONTENT_TYPE, MetricsExposition.CONTENT_TYPE);
-        return figures;
+    private FullHttpResponse metricsResponse() {
+        FullHttpResponse response = textResponse(HttpResponseStatus.OK, MetricsExposition.format(metrics));
+        response.headers().set(HttpHeaderNames.CONTENT_TYPE, MetricsExposition.CONTENT_TYPE);
+        return response;
     }
 
     /** Returns the state after a change of standby, which is refused only while the gateway stops. */
-    private FullHttpResponse turned(boolean taken) {
-        return text(taken ? HttpResponseStatus.OK : HttpResponseStatus.CONFLICT, state());
+    private FullHttpResponse standbyResponse(boolean accepted) {
+        return textResponse(accepted ? HttpResponseStatus.OK : HttpResponseStatus.CONFLICT, stateText());
     }
 
-    private String state() {
-        return life.state().name().toLowerCase(Locale.ROOT) + "\n";
+    private String stateText() {
+        return lifecycle.state().name().toLowerCase(Locale.ROOT) + "\n";
     }
 
-    private static FullHttpResponse text(HttpResponseStatus status, String text) {
+    private static FullHttpResponse textResponse(HttpResponseStatus status, String text) {
         ByteBuf body = Unpooled.copiedBuffer(text, StandardCharsets.UTF_8);
-        FullHttpResponse answer = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, body);
-        answer.headers().set(HttpHeaderNames.CONTENT_TYPE, "text/plain; charset=utf-8");
-        return answer;
+        FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, body);
+        response.headers().set(HttpHeaderNames.CONTENT_TYPE, "text/plain; charset=utf-8");
+        return response;
     }
 }
--- a/src/main/java/mastdrift/net/ClassPreloader.java
+++ b/src/main/java/mastdrift/net/ClassPreloader.java
@@ -13,20 +13,20 @@
     while no descriptor is left fails to load, then and later. */
 final class ClassPreloader {
 
-    private static final String SUFFIX = ".class";
-    private static final String NO_RESOURCE = "mastdrift/none";
+    private static final String CLASS_SUFFIX = ".class";
+    private static final String MISSING_RESOURCE = "mastdrift/none";
 
     private ClassPreloader() { }
 
     /** Loads all classes; ones that can't be loaded now are left to their first use. */
     static void load() {
         ClassLoader loader = ClassPreloader.class.getClassLoader();
-        loader.getResource(NO_RESOURCE);  // searching for it opens every archive of the class path, and they stay open
+        loader.getResource(MISSING_RESOURCE);  // searching for it opens every archive of the class path, and they stay open
         try {
-            Path place = Path.of(ClassPreloader.class.getProtectionDomain().getCodeSource().getLocation().toURI());
-            for (String file : Files.isDirectory(place) ? filesBelow(place) : filesIn(place)) {
-                if (file.endsWith(SUFFIX)) {
-                    Class.forName(file.substring(0, file.length() - SUFFIX.length()).replace('/', '.'), false, loader);
+            Path location = Path.of(ClassPreloader.class.getProtectionDomain().getCodeSource().getLocation().toURI());
+            for (String file : Files.isDirectory(location) ? filesInDirectory(location) : filesInArchive(location)) {
+                if (file.endsWith(CLASS_SUFFIX)) {
+                    Class.forName(file.substring(0, file.length() - CLASS_SUFFIX.length()).replace('/', '.'), false, loader);
                 }
             }
         } catch (IOException | URISyntaxException | ClassNotFoundException | LinkageError e) {
@@ -34,13 +34,13 @@
         }
     }
 
-    private static List<String> filesBelow(Path folder) throws IOException {
+    private static List<String> filesInDirectory(Path folder) throws IOException {
         try (Stream<Path> files = Files.walk(folder)) {
             return files.map(file -> folder.relativize(file).toString()).toList();
         }
     }
 
-    private static List<String> filesIn(Path archive) throws IOException {
+    private static List<String> filesInArchive(Path archive) throws IOException {
         try (JarFile jar = new JarFile(archive.toFile())) {
             return jar.stream().map(JarEntry::getName).toList();
         }
--- a/src/main/java/mastdrift/net/Config.java
+++ b/src/main/java/mastdrift/net/Config.java
@@ -28,12 +28,12 @@
 
     /** Reads the file that the variable {@code NODE_CONFIG} names; other variables override its values. */
     static Config read(Map<String, String> environment) {
-        Map<String, Object> root = file(environment);
-        Map<String, String> facts = new HashMap<>();
-        flatten("", root.get("settings"), facts);
+        Map<String, Object> root = readFile(environment);
+        Map<String, String> values = new HashMap<>();
+        flatten("", root.get("settings"), values);
         Settings settings;
         try {
-            settings = new Facts(facts).settings(seed(stringValue(root, "seed")));
+            settings = new Facts(values).settings(parseSeed(stringValue(root, "seed")));
         } catch (IllegalArgumentException e) {
             throw new IllegalArgumentException("settings: expected " + e.getMessage(), e);
         }
@@ -49,21 +49,21 @@
     /** Creates the metrics of a gateway with this configuration. They exist before the gateway, since operators may ask
         earlier. */
     GatewayMetrics newMetrics() {
-        GatewayMetrics tally = new GatewayMetrics(settings.classes().stream().map(RequestClass::name).toList());
-        tally.setGauge(GatewayMetrics.Gauge.HOSTS_KNOWN, initialHosts.entries().size());
-        return tally;
+        GatewayMetrics metrics = new GatewayMetrics(settings.classes().stream().map(RequestClass::name).toList());
+        metrics.setGauge(GatewayMetrics.Gauge.HOSTS_KNOWN, initialHosts.entries().size());
+        return metrics;
     }
 
     /** Reads the address of discovery from the file as it is now. */
     static InetSocketAddress discoveryAddress(Map<String, String> environment) {
-        return parseAddress(stringValue(file(environment), "discovery"));
+        return parseAddress(stringValue(readFile(environment), "discovery"));
     }
 
     static String stringValue(Map<?, ?> object, String name) {
         return Objects.toString(object.get(name), "");
     }
 
-    private static Map<String, Object> file(Map<String, String> environment) {
+    private static Map<String, Object> readFile(Map<String, String> environment) {
         String file = environment.get("NODE_CONFIG");
         if (file == null) {
             throw new IllegalArgumentException("NODE_CONFIG is not set");
@@ -77,7 +77,7 @@
         }
     }
 
-    private static long seed(String hex) {
+    private static long parseSeed(String hex) {
         try {
             return Long.parseUnsignedLong(hex, 16);
         } catch (NumberFormatException e) {
@@ -87,17 +87,17 @@
 
     /** Collects the values of a JSON tree under their paths, in the form of the simulator's protocol that {@link Facts}
         reads. */
-    private static void flatten(String path, Object node, Map<String, String> facts) {
+    private static void flatten(String path, Object node, Map<String, String> values) {
         if (node instanceof Map<?, ?> object) {
-            object.forEach((name, value) -> flatten(path.isEmpty() ? name.toString() : path + "." + name, value, facts));
+            object.forEach((name, value) -> flatten(path.isEmpty() ? name.toString() : path + "." + name, value, values));
         } else if (node instanceof List<?> list) {
             for (int i = 0; i < list.size(); i++) {
-                flatten(path + "." + i, list.get(i), facts);
+                flatten(path + "." + i, list.get(i), values);
             }
-            facts.put(path, list.stream().map(Objects::toString).collect(Collectors.joining(",")));
-            facts.put(path + ".count", Integer.toString(list.size()));
+            values.put(path, list.stream().map(Objects::toString).collect(Collectors.joining(",")));
+            values.put(path + ".count", Integer.toString(list.size()));
         } else if (node != null) {
-            facts.put(path, node.toString());
+            values.put(path, node.toString());
         }
     }
 
--- a/src/main/java/mastdrift/net/ConfigReloader.java
+++ b/src/main/java/mastdrift/net/ConfigReloader.java
@@ -12,14 +12,14 @@
     arrives. */
 final class ConfigReloader {
 
-    private static final int READ_TRIES = 20;
+    private static final int MAX_READ_TRIES = 20;
     private static final long READ_RETRY_MILLIS = 100;
 
-    private final Supplier<InetSocketAddress> read;
-    private final Consumer<InetSocketAddress> take;
-    private final Consumer<String> failed;
-    private final Sleeper pause;
-    private final AtomicInteger signals = new AtomicInteger();
+    private final Supplier<InetSocketAddress> reader;
+    private final Consumer<InetSocketAddress> onRead;
+    private final Consumer<String> onFailure;
+    private final Sleeper sleeper;
+    private final AtomicInteger signalCount = new AtomicInteger();
 
     /** Pauses between two attempts to read. */
     interface Sleeper {
@@ -28,42 +28,42 @@
 
     /** {@code reader} throws IllegalArgumentException where the configuration can't be read; once the attempts are used
         up, {@code onFailure} gets its message. */
-    ConfigReloader(Supplier<InetSocketAddress> read, Consumer<InetSocketAddress> take, Consumer<String> failed) {
-        this(read, take, failed, TimeUnit.MILLISECONDS::sleep);
+    ConfigReloader(Supplier<InetSocketAddress> reader, Consumer<InetSocketAddress> onRead, Consumer<String> onFailure) {
+        this(reader, onRead, onFailure, TimeUnit.MILLISECONDS::sleep);
     }
 
-    ConfigReloader(Supplier<InetSocketAddress> read, Consumer<InetSocketAddress> take, Consumer<String> failed, Sleeper pause) {
-        this.read = read;
-        this.take = take;
-        this.failed = failed;
-        this.pause = pause;
+    ConfigReloader(Supplier<InetSocketAddress> reader, Consumer<InetSocketAddress> onRead, Consumer<String> onFailure, Sleeper sleeper) {
+        this.reader = reader;
+        this.onRead = onRead;
+        this.onFailure = onFailure;
+        this.sleeper = sleeper;
     }
 
     /** Handles one signal, on any thread. */
     void signalReceived() {
-        int mine = signals.incrementAndGet();
+        int signal = signalCount.incrementAndGet();
         synchronized (this) {
-            reload(mine);
+            reload(signal);
         }
     }
 
-    private void reload(int mine) {
+    private void reload(int signal) {
         for (int tries = 1; true; tries++) {
             try {
-                take.accept(read.get());
+                onRead.accept(reader.get());
                 return;
             } catch (IllegalArgumentException e) {
-                if (tries == READ_TRIES || !waited() || signals.get() != mine) {
-                    failed.accept(e.getMessage());
+                if (tries == MAX_READ_TRIES || !pauseBeforeRetry() || signalCount.get() != signal) {
+                    onFailure.accept(e.getMessage());
                     return;
                 }
             }
         }
     }
 
-    private boolean waited() {
+    private boolean pauseBeforeRetry() {
         try {
-            pause.sleep(READ_RETRY_MILLIS);
+            sleeper.sleep(READ_RETRY_MILLIS);
             return true;
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/src/main/java/mastdrift/net/Connector.java
+++ b/src/main/java/mastdrift/net/Connector.java
@@ -26,23 +26,23 @@
 
     /** Starts to connect and returns the channel of the future connection, which is closed where none could be
         created. */
-    static Channel connect(Bootstrap bootstrap, EventLoop loop, InetSocketAddress at, ConnectListener result) {
-        ChannelFuture dialled = bootstrap.connect(at);
-        dialled.addListener(done -> {
+    static Channel connect(Bootstrap bootstrap, EventLoop loop, InetSocketAddress address, ConnectListener listener) {
+        ChannelFuture connecting = bootstrap.connect(address);
+        connecting.addListener(done -> {
             if (loop.inEventLoop()) {
-                tell(dialled, result);
+                notify(connecting, listener);
             } else {
-                loop.execute(() -> tell(dialled, result));
+                loop.execute(() -> notify(connecting, listener));
             }
         });
-        return dialled.channel();
+        return connecting.channel();
     }
 
-    private static void tell(ChannelFuture dialled, ConnectListener result) {
-        if (dialled.isSuccess()) {
-            result.connected(dialled.channel());
+    private static void notify(ChannelFuture connecting, ConnectListener listener) {
+        if (connecting.isSuccess()) {
+            listener.connected(connecting.channel());
         } else {
-            result.failed(dialled.cause());
+            listener.failed(connecting.cause());
         }
     }
 
@@ -56,7 +56,7 @@
     /** Whether the failure lies with this machine (no descriptor, port, buffer or route at the moment) and says nothing
         about the remote one. */
     static boolean isLocalFailure(Throwable cause) {
-        boolean ofTheOther = cause instanceof ConnectException || cause instanceof NoRouteToHostException;
-        return cause instanceof ChannelException || cause instanceof SocketException && !ofTheOther;
+        boolean remote = cause instanceof ConnectException || cause instanceof NoRouteToHostException;
+        return cause instanceof ChannelException || cause instanceof SocketException && !remote;
     }
 }
--- a/src/main/java/mastdrift/net/DiscoveryClient.java
+++ b/src/main/java/mastdrift/net/DiscoveryClient.java
@@ -39,131 +39,131 @@
         seconds. */
     static final int CALL_TIMEOUT_MILLIS = 4000;
     // Time limit from one list to the next of a watch. Discovery sends a list or an empty line at least every 2 s.
-    private static final int SILENCE_MILLIS = 3000;
+    private static final int SILENCE_TIMEOUT_MILLIS = 3000;
     // After a change of discovery's address the gateway has to know the list of the new address within 4 s. For that
     // time a request that fails is repeated soon, and the failure is put down to the change and not reported.
-    private static final int MOVE_MILLIS = 4000;
-    private static final int MOVE_CALL_MILLIS = 1500;
-    private static final int MOVE_DIAL_MILLIS = 500;
-    private static final int MOVE_PAUSE_MILLIS = 150;
-    private static final int DIAL_MILLIS = 2000;
-    private static final int LIST_BYTES_MOST = 4 << 20;
+    private static final int ADDRESS_CHANGE_MILLIS = 4000;
+    private static final int ADDRESS_CHANGE_CALL_TIMEOUT_MILLIS = 1500;
+    private static final int ADDRESS_CHANGE_CONNECT_TIMEOUT_MILLIS = 500;
+    private static final int ADDRESS_CHANGE_RETRY_MILLIS = 150;
+    private static final int CONNECT_TIMEOUT_MILLIS = 2000;
+    private static final int MAX_LIST_BYTES = 4 << 20;
 
     private final EventLoop loop;
-    private InetSocketAddress at;
-    private final Consumer<HostList> lists;
-    private final Consumer<String> failures;
-    private long rev;
-    private Channel watch;
+    private InetSocketAddress address;
+    private final Consumer<HostList> onList;
+    private final Consumer<String> onFailure;
+    private long revision;
+    private Channel watchChannel;
     private boolean watchWanted;
-    private Channel fetch;
-    private long movedAt = System.nanoTime() - TimeUnit.MILLISECONDS.toNanos(MOVE_MILLIS);
+    private Channel fetchChannel;
+    private long addressChangedAt = System.nanoTime() - TimeUnit.MILLISECONDS.toNanos(ADDRESS_CHANGE_MILLIS);
 
-    DiscoveryClient(EventLoop loop, InetSocketAddress at, long rev, Consumer<HostList> lists, Consumer<String> failures) {
+    DiscoveryClient(EventLoop loop, InetSocketAddress address, long revision, Consumer<HostList> onList, Consumer<String> onFailure) {
         this.loop = loop;
-        this.at = at;
-        this.rev = rev;
-        this.lists = lists;
-        this.failures = failures;
+        this.address = address;
+        this.revision = revision;
+        this.onList = onList;
+        this.onFailure = onFailure;
     }
 
     /** Starts or stops watching the host list. A watch that is open is closed without a report and, if still wanted,
         replaced. */
-    void watch(boolean active) {
-        watchWanted = active;
-        Channel before = watch;
-        watch = null;
-        if (before != null) {
-            Connector.close(before);
+    void watch(boolean wanted) {
+        watchWanted = wanted;
+        Channel previous = watchChannel;
+        watchChannel = null;
+        if (previous != null) {
+            Connector.close(previous);
         }
-        if (active) {
-            watch = call("/v1/endpoints?watch=1&from=" + rev, true);
+        if (wanted) {
+            watchChannel = sendRequest("/v1/endpoints?watch=1&from=" + revision, true);
         }
     }
 
     /** Fetches the host list once. A fetch that is open is closed without a report and replaced. */
     void fetch() {
-        Channel before = fetch;
-        fetch = null;
-        if (before != null) {
-            Connector.close(before);
+        Channel previous = fetchChannel;
+        fetchChannel = null;
+        if (previous != null) {
+            Connector.close(previous);
         }
-        fetch = call("/v1/endpoints", false);
+        fetchChannel = sendRequest("/v1/endpoints", false);
     }
 
     /** Sets the address of discovery. Whatever the old address still sends, or that its connections end, is ignored. */
-    void setAddress(InetSocketAddress to) {
-        if (to.equals(at)) {
+    void setAddress(InetSocketAddress newAddress) {
+        if (newAddress.equals(address)) {
             return;
         }
-        at = to;
-        movedAt = System.nanoTime();
+        address = newAddress;
+        addressChangedAt = System.nanoTime();
         if (watchWanted) {
             watch(true);
         }
-        if (fetch != null) {
+        if (fetchChannel != null) {
             fetch();
         }
     }
 
-    private boolean moving() {
-        return System.nanoTime() - movedAt < TimeUnit.MILLISECONDS.toNanos(MOVE_MILLIS);
+    private boolean addressChangedRecently() {
+        return System.nanoTime() - addressChangedAt < TimeUnit.MILLISECONDS.toNanos(ADDRESS_CHANGE_MILLIS);
     }
 
-    private Channel call(String path, boolean watching) {
+    private Channel sendRequest(String path, boolean watching) {
         Bootstrap bootstrap = new Bootstrap().group(loop).channelFactory(TcpChannel::new)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, moving() ? MOVE_DIAL_MILLIS : DIAL_MILLIS)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, addressChangedRecently() ? ADDRESS_CHANGE_CONNECT_TIMEOUT_MILLIS : CONNECT_TIMEOUT_MILLIS)
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
                         channel.pipeline().addLast(new HttpClientCodec(), new ResponseHandler(watching));
                     }
                 });
-        Channel[] dialled = new Channel[1];
-        dialled[0] = Connector.connect(bootstrap, loop, at, new Connector.ConnectListener() {
+        Channel[] connecting = new Channel[1];
+        connecting[0] = Connector.connect(bootstrap, loop, address, new Connector.ConnectListener() {
             @Override
             public void connected(Channel channel) {
                 DefaultFullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, path);
-                request.headers().set(HttpHeaderNames.HOST, NetUtil.toSocketAddressString(at));
+                request.headers().set(HttpHeaderNames.HOST, NetUtil.toSocketAddressString(address));
                 channel.writeAndFlush(request);
             }
 
             @Override
             public void failed(Throwable cause) {
-                DiscoveryClient.this.failed(dialled[0], watching, "no connection: " + cause.getMessage());
+                DiscoveryClient.this.requestFailed(connecting[0], watching, "no connection: " + cause.getMessage());
             }
         });
-        return dialled[0];
+        return connecting[0];
     }
 
-    private boolean replaced(Channel channel, boolean watching) {
-        return channel != (watching ? watch : fetch);
+    private boolean isReplaced(Channel channel, boolean watching) {
+        return channel != (watching ? watchChannel : fetchChannel);
     }
 
-    private void failed(Channel channel, boolean watching, String cause) {
-        if (replaced(channel, watching)) {
+    private void requestFailed(Channel channel, boolean watching, String cause) {
+        if (isReplaced(channel, watching)) {
             return;
         }
-        ended(watching);
-        if (moving()) {
-            loop.schedule(() -> askAgain(watching), MOVE_PAUSE_MILLIS, TimeUnit.MILLISECONDS);
+        requestEnded(watching);
+        if (addressChangedRecently()) {
+            loop.schedule(() -> retry(watching), ADDRESS_CHANGE_RETRY_MILLIS, TimeUnit.MILLISECONDS);
         } else {
-            failures.accept(cause);
+            onFailure.accept(cause);
         }
     }
 
-    private void ended(boolean watching) {
+    private void requestEnded(boolean watching) {
         if (watching) {
-            watch = null;
+            watchChannel = null;
         } else {
-            fetch = null;
+            fetchChannel = null;
         }
     }
 
-    private void askAgain(boolean watching) {
-        if (watching && watchWanted && watch == null) {
+    private void retry(boolean watching) {
+        if (watching && watchWanted && watchChannel == null) {
             watch(true);
-        } else if (!watching && fetch == null) {
+        } else if (!watching && fetchChannel == null) {
             fetch();
         }
     }
@@ -173,12 +173,12 @@
     private final class ResponseHandler extends SimpleChannelInboundHandler<HttpObject> {
 
         private final boolean watching;
-        private final JsonFrameDetector frames = new JsonFrameDetector();
-        private ByteBuf text;
-        private int seen;  // bytes of the text that the frame detector has read
-        private boolean over;
-        private String cause = "the connection ended";
-        private Future<?> deadline;
+        private final JsonFrameDetector frameDetector = new JsonFrameDetector();
+        private ByteBuf buffer;
+        private int scannedBytes;  // bytes of the text that the frame detector has read
+        private boolean finished;
+        private String failureCause = "the connection ended";
+        private Future<?> timeout;
 
         ResponseHandler(boolean watching) {
             this.watching = watching;
@@ -186,86 +186,86 @@
 
         @Override
         public void handlerAdded(ChannelHandlerContext context) {
-            text = context.alloc().heapBuffer();
-            bind(context, moving() ? MOVE_CALL_MILLIS : CALL_TIMEOUT_MILLIS, "no answer in time");
+            buffer = context.alloc().heapBuffer();
+            startTimeout(context, addressChangedRecently() ? ADDRESS_CHANGE_CALL_TIMEOUT_MILLIS : CALL_TIMEOUT_MILLIS, "no answer in time");
         }
 
         @Override
         public void handlerRemoved(ChannelHandlerContext context) {
-            deadline.cancel(false);
-            text.release();
+            timeout.cancel(false);
+            buffer.release();
         }
 
         /** Closes the connection with the given cause after that time, unless this is called again before. */
-        private void bind(ChannelHandlerContext context, int millis, String late) {
-            if (deadline != null) {
-                deadline.cancel(false);
+        private void startTimeout(ChannelHandlerContext context, int millis, String timeoutCause) {
+            if (timeout != null) {
+                timeout.cancel(false);
             }
-            deadline = loop.schedule(() -> {
-                cause = late;
+            timeout = loop.schedule(() -> {
+                failureCause = timeoutCause;
                 context.close();
             }, millis, TimeUnit.MILLISECONDS);
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, HttpObject part) throws IOException {
-            if (over || part.decoderResult().isFailure() || replaced(context.channel(), watching)) {
+            if (finished || part.decoderResult().isFailure() || isReplaced(context.channel(), watching)) {
                 context.close();
                 return;
             }
             if (part instanceof HttpResponse response && response.status().code() != 200) {
-                cause = "status " + response.status().code();
+                failureCause = "status " + response.status().code();
                 context.close();
             } else if (part instanceof HttpContent content) {
-                text.discardReadBytes().writeBytes(content.content());
-                read(context, part instanceof LastHttpContent);
+                buffer.discardReadBytes().writeBytes(content.content());
+                scan(context, part instanceof LastHttpContent);
             }
         }
 
-        private void read(ChannelHandlerContext context, boolean last) throws IOException {
-            while (watching && seen < text.readableBytes()) {
-                byte next = text.getByte(text.readerIndex() + seen++);
-                if (frames.ends(next)) {
-                    take(seen);
-                    frames.begin();
-                    seen = 0;
-                    bind(context, SILENCE_MILLIS, "silence");
+        private void scan(ChannelHandlerContext context, boolean last) throws IOException {
+            while (watching && scannedBytes < buffer.readableBytes()) {
+                byte next = buffer.getByte(buffer.readerIndex() + scannedBytes++);
+                if (frameDetector.endsFrame(next)) {
+                    parseList(scannedBytes);
+                    frameDetector.startFrame();
+                    scannedBytes = 0;
+                    startTimeout(context, SILENCE_TIMEOUT_MILLIS, "silence");
                 }
             }
             if (last && !watching) {
-                take(text.readableBytes());
-                over = true;
-                ended(false);
+                parseList(buffer.readableBytes());
+                finished = true;
+                requestEnded(false);
             }
-            if (last || text.readableBytes() > LIST_BYTES_MOST) {
+            if (last || buffer.readableBytes() > MAX_LIST_BYTES) {
                 context.close();
             }
         }
 
-        private void take(int length) throws IOException {
-            byte[] line = ByteBufUtil.getBytes(text.readSlice(length));
-            if (!new String(line, StandardCharsets.UTF_8).isBlank()) {
-                HostList list = HostList.parse(JSON.std.anyFrom(line));
-                if (list.revision() >= rev) {  // a list that comes late may lack a drain that was already reported
-                    rev = list.revision();
-                    lists.accept(list);
+        private void parseList(int length) throws IOException {
+            byte[] json = ByteBufUtil.getBytes(buffer.readSlice(length));
+            if (!new String(json, StandardCharsets.UTF_8).isBlank()) {
+                HostList list = HostList.parse(JSON.std.anyFrom(json));
+                if (list.revision() >= revision) {  // a list that comes late may lack a drain that was already reported
+                    revision = list.revision();
+                    onList.accept(list);
                 }
             }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            if (!over) {
-                over = true;
-                failed(context.channel(), watching, cause);
+            if (!finished) {
+                finished = true;
+                requestFailed(context.channel(), watching, failureCause);
             }
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable fault) {
-            boolean odd = fault instanceof IllegalArgumentException || fault instanceof ArithmeticException
+            boolean invalid = fault instanceof IllegalArgumentException || fault instanceof ArithmeticException
                     || fault instanceof JsonProcessingException;
-            cause = odd ? "odd answer: " + fault.getMessage().lines().findFirst().orElse("") : fault.toString();
+            failureCause = invalid ? "odd answer: " + fault.getMessage().lines().findFirst().orElse("") : fault.toString();
             context.close();
         }
     }
--- a/src/main/java/mastdrift/net/EventLog.java
+++ b/src/main/java/mastdrift/net/EventLog.java
@@ -39,52 +39,52 @@
         CLOCK_STEPPED
     }
 
-    private static final long SPAN_MICROS = 1_000_000;
-    private static final int LINES_A_SPAN = 5;
+    private static final long INTERVAL_MICROS = 1_000_000;
+    private static final int MAX_LINES_PER_INTERVAL = 5;
 
     /** The lines of one kind of event in the current interval. */
-    private static final class Written {
-        private long since;
+    private static final class IntervalLines {
+        private long intervalStart;
         private int lines;
         private long leftOut;
     }
 
     private final LongSupplier clock;
-    private final Consumer<String> out;
-    private final Map<Event, Written> written = new EnumMap<>(Event.class);
+    private final Consumer<String> output;
+    private final Map<Event, IntervalLines> intervalLines = new EnumMap<>(Event.class);
 
     /** Creates a log on a clock in microseconds from any origin. */
-    EventLog(LongSupplier clock, Consumer<String> out) {
+    EventLog(LongSupplier clock, Consumer<String> output) {
         this.clock = clock;
-        this.out = out;
+        this.output = output;
     }
 
     /** Logs an event with alternating keys and values; a pair whose value is null is left out. */
-    void add(Event event, Object... facts) {
-        Written mine = written.computeIfAbsent(event, each -> new Written());
+    void add(Event event, Object... keysAndValues) {
+        IntervalLines current = intervalLines.computeIfAbsent(event, each -> new IntervalLines());
         long now = clock.getAsLong();
-        if (mine.lines == 0 || now - mine.since >= SPAN_MICROS) {
-            mine.since = now;
-            mine.lines = 0;
+        if (current.lines == 0 || now - current.intervalStart >= INTERVAL_MICROS) {
+            current.intervalStart = now;
+            current.lines = 0;
         }
-        if (++mine.lines > LINES_A_SPAN) {
-            mine.leftOut++;
+        if (++current.lines > MAX_LINES_PER_INTERVAL) {
+            current.leftOut++;
             return;
         }
-        out.accept(line(event, mine.leftOut, facts));
-        mine.leftOut = 0;
+        output.accept(line(event, current.leftOut, keysAndValues));
+        current.leftOut = 0;
     }
 
     /** Logs a bug of the program as a line of text, without a limit. */
     void fault(String text) {
-        out.accept(text);
+        output.accept(text);
     }
 
-    private static String line(Event event, long leftOut, Object... facts) {
+    private static String line(Event event, long leftOut, Object... keysAndValues) {
         StringBuilder line = new StringBuilder("event=").append(event.name().toLowerCase(Locale.ROOT));
-        for (int i = 0; i + 1 < facts.length; i += 2) {
-            if (facts[i + 1] != null) {
-                line.append(' ').append(facts[i]).append('=').append(value(facts[i + 1]));
+        for (int i = 0; i + 1 < keysAndValues.length; i += 2) {
+            if (keysAndValues[i + 1] != null) {
+                line.append(' ').append(keysAndValues[i]).append('=').append(formatValue(keysAndValues[i + 1]));
             }
         }
         if (leftOut > 0) {
@@ -93,9 +93,9 @@
         return line.toString();
     }
 
-    private static String value(Object value) {
-        if (value instanceof Enum<?> name) {
-            return name.name().toLowerCase(Locale.ROOT);
+    private static String formatValue(Object value) {
+        if (value instanceof Enum<?> constant) {
+            return constant.name().toLowerCase(Locale.ROOT);
         }
         String text = value.toString();
         return text.indexOf(' ') < 0 ? text : '"' + text.replace('"', '\'') + '"';
--- a/src/main/java/mastdrift/net/GatewayMetrics.java
+++ b/src/main/java/mastdrift/net/GatewayMetrics.java
@@ -32,13 +32,13 @@
     /** Current values. */
     enum Gauge { IN_FLIGHT, HOSTS_KNOWN, HOSTS_EXCLUDED }
 
-    private final Map<Counter, AtomicLong> counts = zeros(Counter.class);
+    private final Map<Counter, AtomicLong> counters = zeros(Counter.class);
     private final Map<Outcome, AtomicLong> outcomes = zeros(Outcome.class);
     private final Map<Gauge, AtomicLong> gauges = zeros(Gauge.class);
     private final Map<String, Map<RequestOutcome, AtomicLong>> requests = new LinkedHashMap<>();
     // For the log line only, on the gateway's event loop.
-    private final Map<Peak, Integer> levels = new EnumMap<>(Peak.class);
-    private final Map<Enum<?>, Long> told = new HashMap<>();
+    private final Map<Peak, Integer> peaks = new EnumMap<>(Peak.class);
+    private final Map<Enum<?>, Long> lastLogged = new HashMap<>();
 
     /** Creates metrics with every request class at 0. */
     GatewayMetrics(List<String> classNames) {
@@ -51,32 +51,32 @@
         return zeros;
     }
 
-    void increment(Counter count) {
-        counts.get(count).incrementAndGet();
+    void increment(Counter counter) {
+        counters.get(counter).incrementAndGet();
     }
 
     void increment(Outcome outcome) {
         outcomes.get(outcome).incrementAndGet();
     }
 
-    void increment(String className, RequestOutcome ended) {
-        requests.get(className).get(ended).incrementAndGet();
+    void increment(String className, RequestOutcome outcome) {
+        requests.get(className).get(outcome).incrementAndGet();
     }
 
-    void recordPeak(Peak level, int value) {
-        levels.merge(level, value, Math::max);
+    void recordPeak(Peak peak, int value) {
+        peaks.merge(peak, value, Math::max);
     }
 
     void setGauge(Gauge gauge, long value) {
         gauges.get(gauge).set(value);
     }
 
-    long count(Counter count) {
-        return counts.get(count).get();
+    long count(Counter counter) {
+        return counters.get(counter).get();
     }
 
-    long count(String className, RequestOutcome ended) {
-        return requests.get(className).get(ended).get();
+    long count(String className, RequestOutcome outcome) {
+        return requests.get(className).get(outcome).get();
     }
 
     long gauge(Gauge gauge) {
@@ -90,34 +90,34 @@
     /** Returns the counts above 0 since the last such line, and the peaks, which start again; empty if nothing was
         counted. */
     String logLine() {
-        String since = text(Counter.values(), count -> count(count));
-        String ended = text(RequestOutcome.values(), end -> requests.values().stream().mapToLong(sums -> sums.get(end).get()).sum());
-        String attempts = text(Outcome.values(), outcome -> outcomes.get(outcome).get());
-        String most = levels.entrySet().stream().map(level -> name(level.getKey()) + "=" + level.getValue())
+        String counted = changes(Counter.values(), counter -> count(counter));
+        String ended = changes(RequestOutcome.values(), outcome -> requests.values().stream().mapToLong(sums -> sums.get(outcome).get()).sum());
+        String attempts = changes(Outcome.values(), outcome -> outcomes.get(outcome).get());
+        String highest = peaks.entrySet().stream().map(peak -> outerName(peak.getKey()) + "=" + peak.getValue())
                 .collect(Collectors.joining(" "));
-        levels.clear();
-        return since.isEmpty() && ended.isEmpty() && attempts.isEmpty() ? ""
-                : "counts " + (since + " " + ended).strip() + "; attempts " + attempts + "; most at once " + most;
+        peaks.clear();
+        return counted.isEmpty() && ended.isEmpty() && attempts.isEmpty() ? ""
+                : "counts " + (counted + " " + ended).strip() + "; attempts " + attempts + "; most at once " + highest;
     }
 
-    private interface Sum<E> {
+    private interface Total<E> {
         long of(E each);
     }
 
-    private <E extends Enum<E>> String text(E[] all, Sum<E> sum) {
+    private <E extends Enum<E>> String changes(E[] constants, Total<E> total) {
         StringBuilder text = new StringBuilder();
-        for (E each : all) {
-            long now = sum.of(each);
-            Long before = told.put(each, now);
-            long since = now - (before == null ? 0 : before);
-            if (since > 0) {
-                text.append(text.length() == 0 ? "" : " ").append(name(each)).append('=').append(since);
+        for (E constant : constants) {
+            long now = total.of(constant);
+            Long previous = lastLogged.put(constant, now);
+            long change = now - (previous == null ? 0 : previous);
+            if (change > 0) {
+                text.append(text.length() == 0 ? "" : " ").append(outerName(constant)).append('=').append(change);
             }
         }
         return text.toString();
     }
 
-    private static String name(Enum<?> each) {
-        return each.name().toLowerCase(Locale.ROOT);
+    private static String outerName(Enum<?> constant) {
+        return constant.name().toLowerCase(Locale.ROOT);
     }
 }
--- a/src/main/java/mastdrift/net/HostConnectionPool.java
+++ b/src/main/java/mastdrift/net/HostConnectionPool.java
@@ -49,31 +49,31 @@
     static final String EXPIRES_HEADER = "X-Expires-In-Ms";
     // Part of the hosts' idle timeout after which an idle connection is no longer used: a request that is written later
     // could meet the host's close.
-    private static final double IDLE_PART = 0.8;
+    private static final double IDLE_TIMEOUT_FRACTION = 0.8;
     // Taken off the drain grace: the platform may suspend the process for 0.15 s between reading the clock and a write,
     // and a host list may have waited for as long before it was read.
-    private static final long GRACE_SPARE_MICROS = 300_000;
+    private static final long DRAIN_GRACE_MARGIN_MICROS = 300_000;
     // How long a response that is aggregated may stall. A host sends the next piece at once; only a lost packet delays
     // it, and TCP sends that again after 200 ms.
-    private static final long STALL_MICROS = 250_000;
+    private static final long STALL_TIMEOUT_MICROS = 250_000;
     // How long a response that is streamed may stall: its host may produce it slowly, and no other host can be tried
     // any more.
-    private static final long RELAY_STALL_MICROS = 5_000_000;
+    private static final long STREAM_STALL_TIMEOUT_MICROS = 5_000_000;
     // A response of unknown length that takes longer than this is streamed, since it may be a long one whose first
     // bytes the client waits for.
-    private static final long OPEN_ENDED_HELD_MICROS = 50_000;
+    private static final long MAX_AGGREGATION_MICROS = 50_000;
     // Idle timeout and sweep interval of a gateway that is about to end while its successor runs.
-    private static final long RETIRED_IDLE_MICROS = 100_000;
-    private static final long RETIRED_SWEEP_MICROS = 50_000;
+    private static final long RETIRED_IDLE_TIMEOUT_MICROS = 100_000;
+    private static final long RETIRED_SWEEP_INTERVAL_MICROS = 50_000;
     // Connecting is retried for 0.1 s in all where it failed for a lack on this machine.
-    private static final int LOCAL_TRIES = 10;
-    private static final long LOCAL_RETRY_MILLIS = 10;
-    private static final int INTERIM_ANSWERS_MOST = 16;  // 1xx responses ahead of the final one
+    private static final int MAX_CONNECT_TRIES = 10;
+    private static final long CONNECT_RETRY_MILLIS = 10;
+    private static final int MAX_INTERIM_RESPONSES = 16;  // 1xx responses ahead of the final one
     // A host that sends a second response some milliseconds after the first would have it taken for the response to the
     // next request. For the period after such unexpected data, connections to that host are reused only after this
     // delay.
-    private static final long STRAY_REST_MICROS = 50_000;
-    private static final long STRAY_KEPT_MICROS = 60_000_000;
+    private static final long REUSE_DELAY_MICROS = 50_000;
+    private static final long REUSE_DELAY_PERIOD_MICROS = 60_000_000;
 
     /** Receives the events of one attempt. */
     interface AttemptListener {
@@ -90,92 +90,92 @@
 
         /** A response that is too long to be aggregated has started. The listener consumes or abandons the relay of its
             body; {@link #onEnd} follows once the whole body has been read or can't be. */
-        default void onResponseStart(FullHttpResponse answer, Relay rest) {
-            rest.abandon();
+        default void onResponseStart(FullHttpResponse response, Relay bodyRelay) {
+            bodyRelay.abandon();
         }
 
         /** The attempt has ended; called exactly once. The response is null where the host gave none or it was
             streamed. */
-        void onEnd(Outcome outcome, FullHttpResponse answer);
+        void onEnd(Outcome outcome, FullHttpResponse response);
     }
 
     /** A host of the list with its idle connections. Times are on the gateway's clock, in microseconds. */
     private static final class PooledHost {
-        private InetSocketAddress at;
-        private long born;
-        private long sendUntil = Long.MAX_VALUE;
-        private long strayUntil;  // until then idle connections are reused only after REUSE_DELAY_MICROS
-        private final Deque<HostConnection> idle = new ArrayDeque<>();  // most recently used first
+        private InetSocketAddress address;
+        private long startedAt;
+        private long sendDeadline = Long.MAX_VALUE;
+        private long reuseDelayedUntil;  // until then idle connections are reused only after REUSE_DELAY_MICROS
+        private final Deque<HostConnection> idleConnections = new ArrayDeque<>();  // most recently used first
     }
 
     private final EventLoop loop;
     private final LongSupplier clock;
     private final Bootstrap bootstrap;
-    private long idleMost;
-    private final long grace;
-    private final int most;
-    private final Map<String, PooledHost> peers = new HashMap<>();
-    private final GatewayMetrics tally;
+    private long idleTimeout;
+    private final long drainGrace;
+    private final int maxConnections;
+    private final Map<String, PooledHost> hosts = new HashMap<>();
+    private final GatewayMetrics metrics;
     private final EventLog log;
-    private int connections;
+    private int connectionCount;
 
     /** Creates a pool of at most {@code maxConnections} connections. The clock and all durations are in
         microseconds. */
-    HostConnectionPool(EventLoop loop, LongSupplier clock, LoopMonitor monitor, long dialTimeout, long idle, long grace, int most,
-            GatewayMetrics tally, EventLog log) {
+    HostConnectionPool(EventLoop loop, LongSupplier clock, LoopMonitor monitor, long connectTimeout, long hostIdleTimeout, long drainGrace, int maxConnections,
+            GatewayMetrics metrics, EventLog log) {
         this.loop = loop;
         this.clock = clock;
-        this.grace = Math.max(0, grace - GRACE_SPARE_MICROS);
-        this.most = most;
-        this.tally = tally;
+        this.drainGrace = Math.max(0, drainGrace - DRAIN_GRACE_MARGIN_MICROS);
+        this.maxConnections = maxConnections;
+        this.metrics = metrics;
         this.log = log;
-        idleMost = (long) (idle * IDLE_PART);
+        idleTimeout = (long) (hostIdleTimeout * IDLE_TIMEOUT_FRACTION);
         bootstrap = new Bootstrap().group(loop).channelFactory(TcpChannel::new)
                 .option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.RECVBUF_ALLOCATOR, ClientSide.readSizes())
                 .option(ChannelOption.WRITE_BUFFER_WATER_MARK, ClientSide.WRITE_SIZES)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, dialTimeout / 1000))
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, connectTimeout / 1000))
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        ResponseDecoder answers = new ResponseDecoder();
-                        Assembler assembler = new Assembler();
+                        ResponseDecoder decoder = new ResponseDecoder();
+                        Assembler aggregator = new Assembler();
                         channel.pipeline().addLast(new HttpRequestEncoder(),
-                                new MonitoredReads(monitor, LoopMonitor.Task.UPSTREAM_READ), answers, assembler,
-                                new HostConnection(channel, answers, assembler));
+                                new MonitoredReads(monitor, LoopMonitor.Task.UPSTREAM_READ), decoder, aggregator,
+                                new HostConnection(channel, decoder, aggregator));
                     }
                 });
-        long sweep = Math.min(idleMost / 8 + 1, 1_000_000);
-        Periodic.every(loop, sweep, this::closeAged, log::fault);
+        long sweepInterval = Math.min(idleTimeout / 8 + 1, 1_000_000);
+        Periodic.every(loop, sweepInterval, this::closeExpiredIdle, log::fault);
     }
 
     /** Applies a host list. Idle connections to hosts that drain, are gone, have moved or have restarted are closed at
         once. */
     void update(HostList list) {
-        Set<String> named = new HashSet<>();
+        Set<String> listed = new HashSet<>();
         for (HostList.Entry entry : list.entries()) {
             Host host = entry.host();
-            named.add(host.address());
-            PooledHost peer = peers.computeIfAbsent(host.address(), uid -> new PooledHost());
+            listed.add(host.address());
+            PooledHost pooled = hosts.computeIfAbsent(host.address(), address -> new PooledHost());
             if (host.state() != HostState.IN_SERVICE) {
-                leave(peer);
+                drain(pooled);
             } else {
-                if (!entry.endpoint().equals(peer.at) || host.startedAt() != peer.born) {
-                    closeIdle(peer);
+                if (!entry.endpoint().equals(pooled.address) || host.startedAt() != pooled.startedAt) {
+                    closeIdle(pooled);
                 }
-                peer.sendUntil = Long.MAX_VALUE;
+                pooled.sendDeadline = Long.MAX_VALUE;
             }
-            peer.at = entry.endpoint();
-            peer.born = host.startedAt();
+            pooled.address = entry.endpoint();
+            pooled.startedAt = host.startedAt();
             if (host.state() == HostState.TERMINATED) {
-                peers.remove(host.address());
+                hosts.remove(host.address());
             }
         }
         if (list.full()) {
-            peers.entrySet().removeIf(known -> {
-                boolean gone = !named.contains(known.getKey());
+            hosts.entrySet().removeIf(known -> {
+                boolean gone = !listed.contains(known.getKey());
                 if (gone) {
-                    leave(known.getValue());
+                    drain(known.getValue());
                 }
                 return gone;
             });
@@ -183,76 +183,76 @@
     }
 
     int knownHostCount() {
-        return peers.size();
+        return hosts.size();
     }
 
     /** The number of connections that are being established or carry an attempt. */
     int busyConnectionCount() {
-        return connections - peers.values().stream().mapToInt(peer -> peer.idle.size()).sum();
+        return connectionCount - hosts.values().stream().mapToInt(host -> host.idleConnections.size()).sum();
     }
 
-    private void leave(PooledHost peer) {
-        peer.sendUntil = Math.min(peer.sendUntil, clock.getAsLong() + grace);
-        closeIdle(peer);
+    private void drain(PooledHost host) {
+        host.sendDeadline = Math.min(host.sendDeadline, clock.getAsLong() + drainGrace);
+        closeIdle(host);
     }
 
     /** Sends a request, which it releases. The timeout, in microseconds, covers the whole attempt. */
-    Attempt send(String uid, FullHttpRequest message, long timeout, AttemptListener ended) {
-        return send(uid, message, null, timeout, ended);
+    Attempt send(String hostId, FullHttpRequest request, long timeout, AttemptListener listener) {
+        return send(hostId, request, null, timeout, listener);
     }
 
     /** Sends a request, which it releases, whose body continues in {@code bodyRelay}; null where the message is whole.
         With a relay the timeout, in microseconds, applies to each phase: connecting, a host that accepts no more of the
         body, and the response from the last byte sent on. Where the body waited for the connection, the later phases
         share what is left. */
-    Attempt send(String uid, FullHttpRequest message, Relay rest, long timeout, AttemptListener ended) {
-        Attempt attempt = new Attempt(message, rest, timeout, ended);
-        PooledHost peer = peers.get(uid);
-        if (peer == null || timeout <= 0) {
-            attempt.end(Outcome.UNUSED, null);
+    Attempt send(String hostId, FullHttpRequest request, Relay bodyRelay, long timeout, AttemptListener listener) {
+        Attempt attempt = new Attempt(request, bodyRelay, timeout, listener);
+        PooledHost host = hosts.get(hostId);
+        if (host == null || timeout <= 0) {
+            attempt.finish(Outcome.UNUSED, null);
             return attempt;
         }
         attempt.startTimer();
-        HostConnection idle = takeIdle(peer);
+        HostConnection idle = takeIdle(host);
         if (idle != null) {
             idle.write(attempt);
-        } else if (connections >= most && !closeEldest()) {
-            tally.increment(GatewayMetrics.Counter.HOST_NO_ROOM);
-            attempt.end(Outcome.DIAL_FAILED, null);
+        } else if (connectionCount >= maxConnections && !closeOldestIdle()) {
+            metrics.increment(GatewayMetrics.Counter.HOST_NO_ROOM);
+            attempt.finish(Outcome.DIAL_FAILED, null);
         } else {
-            dial(peer, attempt, 1);
+            connect(host, attempt, 1);
         }
         return attempt;
     }
 
-    private void dial(PooledHost peer, Attempt attempt, int tries) {
-        InetSocketAddress at = peer.at;
-        long born = peer.born;
-        connections++;
-        tally.increment(GatewayMetrics.Counter.HOST_DIALS);
-        tally.recordPeak(GatewayMetrics.Peak.HOST_CONNECTIONS, connections);
-        attempt.channel = Connector.connect(bootstrap, loop, at, new Connector.ConnectListener() {
+    private void connect(PooledHost host, Attempt attempt, int tries) {
+        InetSocketAddress address = host.address;
+        long startedAt = host.startedAt;
+        connectionCount++;
+        metrics.increment(GatewayMetrics.Counter.HOST_DIALS);
+        metrics.recordPeak(GatewayMetrics.Peak.HOST_CONNECTIONS, connectionCount);
+        attempt.channel = Connector.connect(bootstrap, loop, address, new Connector.ConnectListener() {
             @Override
             public void connected(Channel channel) {
-                channel.closeFuture().addListener(closed -> connections--);
-                if (!attempt.over) {
+                channel.closeFuture().addListener(closed -> connectionCount--);
+                if (!attempt.finished) {
                     HostConnection connection = channel.pipeline().get(HostConnection.class);
-                    connection.peer = peer;
-                    connection.at = at;
-                    connection.born = born;
-                    connection.writeLate(attempt);
+                    connection.host = host;
+                    connection.address = address;
+                    connection.hostStartedAt = startedAt;
+                    connection.writeIfAllowed(attempt);
                 }
             }
 
             @Override
             public void failed(Throwable cause) {
-                connections--;  // not by a close listener: where no descriptor was left there is no channel to close
-                tally.increment(GatewayMetrics.Counter.HOST_DIALS_FAILED);
-                log.add(EventLog.Event.DIAL_FAILED, "at", at, "cause", cause, "tries", tries);
-                if (Connector.isLocalFailure(cause) && tries < LOCAL_TRIES) {
-                    loop.schedule(() -> dialAgain(peer, attempt, tries + 1), LOCAL_RETRY_MILLIS, TimeUnit.MILLISECONDS);
+                connectionCount--;  // not by a close listener: where no descriptor was left there is no channel to close
+                metrics.increment(GatewayMetrics.Counter.HOST_DIALS_FAILED);
+                log.add(EventLog.Event.DIAL_FAILED, "at", address, "cause", cause, "tries", tries);
+                if (Connector.isLocalFailure(cause) && tries < MAX_CONNECT_TRIES) {
+                    loop.schedule(() -> retryConnect(host, attempt, tries + 1), CONNECT_RETRY_MILLIS, TimeUnit.MILLISECONDS);
                 } else {
-                    attempt.end(Outcome.DIAL_FAILED, null);
+                    attempt.finish(Outcome.DIAL_FAILED, null);
                 }
             }
         });
@@ -260,27 +260,27 @@
 
     /** Connects again after a failure on this machine, unless the attempt has ended or the host may no longer be
         used. */
-    private void dialAgain(PooledHost peer, Attempt attempt, int tries) {
-        if (attempt.over) {
+    private void retryConnect(PooledHost host, Attempt attempt, int tries) {
+        if (attempt.finished) {
             return;
         }
-        if (clock.getAsLong() < peer.sendUntil && connections < most) {
-            dial(peer, attempt, tries);
+        if (clock.getAsLong() < host.sendDeadline && connectionCount < maxConnections) {
+            connect(host, attempt, tries);
         } else {
-            attempt.end(Outcome.DIAL_FAILED, null);
+            attempt.finish(Outcome.DIAL_FAILED, null);
         }
     }
 
-    private HostConnection takeIdle(PooledHost peer) {
+    private HostConnection takeIdle(PooledHost host) {
         long now = clock.getAsLong();
-        long least = now < peer.strayUntil ? STRAY_REST_MICROS : 0;
-        for (Iterator<HostConnection> each = peer.idle.iterator(); each.hasNext(); ) {
-            HostConnection idle = each.next();
-            if (now - idle.idleSince < least) {
+        long minIdle = now < host.reuseDelayedUntil ? REUSE_DELAY_MICROS : 0;
+        for (Iterator<HostConnection> iterator = host.idleConnections.iterator(); iterator.hasNext(); ) {
+            HostConnection idle = iterator.next();
+            if (now - idle.idleSince < minIdle) {
                 continue;  // the following ones have been idle for longer
             }
-            each.remove();
-            if (idle.channel.isActive() && now - idle.idleSince < idleMost) {
+            iterator.remove();
+            if (idle.channel.isActive() && now - idle.idleSince < idleTimeout) {
                 return idle;
             }
             idle.channel.close();
@@ -288,21 +288,21 @@
         return null;
     }
 
-    private boolean closeEldest() {
-        Optional<HostConnection> eldest = peers.values().stream().map(peer -> peer.idle.peekLast())
+    private boolean closeOldestIdle() {
+        Optional<HostConnection> oldest = hosts.values().stream().map(host -> host.idleConnections.peekLast())
                 .filter(Objects::nonNull).min(Comparator.comparingLong(idle -> idle.idleSince));
-        eldest.ifPresent(idle -> {
-            idle.peer.idle.remove(idle);
+        oldest.ifPresent(idle -> {
+            idle.host.idleConnections.remove(idle);
             idle.channel.close();
         });
-        return eldest.isPresent();
+        return oldest.isPresent();
     }
 
-    private void closeAged() {
-        long before = clock.getAsLong() - idleMost;
-        for (PooledHost peer : peers.values()) {
-            while (!peer.idle.isEmpty() && peer.idle.peekLast().idleSince <= before) {
-                peer.idle.pollLast().channel.close();
+    private void closeExpiredIdle() {
+        long idleSinceLimit = clock.getAsLong() - idleTimeout;
+        for (PooledHost host : hosts.values()) {
+            while (!host.idleConnections.isEmpty() && host.idleConnections.peekLast().idleSince <= idleSinceLimit) {
+                host.idleConnections.pollLast().channel.close();
             }
         }
     }
@@ -310,18 +310,18 @@
     /** Keeps idle connections only briefly from now on: this gateway is about to end, and its successor, which opens
         connections already, shares its bound on them. */
     void retire() {
-        idleMost = Math.min(idleMost, RETIRED_IDLE_MICROS);
-        Periodic.every(loop, RETIRED_SWEEP_MICROS, this::closeAged, log::fault);
+        idleTimeout = Math.min(idleTimeout, RETIRED_IDLE_TIMEOUT_MICROS);
+        Periodic.every(loop, RETIRED_SWEEP_INTERVAL_MICROS, this::closeExpiredIdle, log::fault);
     }
 
-    void closeIdle(String uid) {
-        if (peers.containsKey(uid)) {
-            closeIdle(peers.get(uid));
+    void closeIdle(String hostId) {
+        if (hosts.containsKey(hostId)) {
+            closeIdle(hosts.get(hostId));
         }
     }
 
-    private static void closeIdle(PooledHost peer) {
-        for (HostConnection idle = peer.idle.poll(); idle != null; idle = peer.idle.poll()) {
+    private static void closeIdle(PooledHost host) {
+        for (HostConnection idle = host.idleConnections.poll(); idle != null; idle = host.idleConnections.poll()) {
             idle.channel.close();
         }
     }
@@ -329,73 +329,73 @@
     /** One attempt of a request on one host. Times are on the gateway's clock, in microseconds. */
     final class Attempt {
 
-        private final FullHttpRequest message;
-        private final Relay rest;
+        private final FullHttpRequest request;
+        private final Relay bodyRelay;
         private long timeout;
-        private final AttemptListener ended;
-        private long ends;
-        private long movedAt;  // when the host last accepted a part of the body, or none was waiting
-        private Future<?> timer;
-        private Future<?> stall;
-        private long firstAt;  // when a response of unknown length was first seen, or 0
+        private final AttemptListener listener;
+        private long deadline;
+        private long lastProgressAt;  // when the host last accepted a part of the body, or none was waiting
+        private Future<?> timeoutTimer;
+        private Future<?> stallTimer;
+        private long responseSeenAt;  // when a response of unknown length was first seen, or 0
         private Channel channel;
-        private boolean sending;
-        private boolean written;
-        private boolean over;
+        private boolean writeStarted;
+        private boolean requestWritten;
+        private boolean finished;
 
-        private Attempt(FullHttpRequest message, Relay rest, long timeout, AttemptListener ended) {
-            this.message = message;
-            this.rest = rest;
+        private Attempt(FullHttpRequest request, Relay bodyRelay, long timeout, AttemptListener listener) {
+            this.request = request;
+            this.bodyRelay = bodyRelay;
             this.timeout = timeout;
-            this.ended = ended;
+            this.listener = listener;
         }
 
         private void startTimer() {
             stopTimers();
-            ends = clock.getAsLong() + timeout;
-            timer = loop.schedule(this::expire, timeout, TimeUnit.MICROSECONDS);
+            deadline = clock.getAsLong() + timeout;
+            timeoutTimer = loop.schedule(this::expire, timeout, TimeUnit.MICROSECONDS);
         }
 
         private void stopTimers() {
-            if (timer != null) {
-                timer.cancel(false);
+            if (timeoutTimer != null) {
+                timeoutTimer.cancel(false);
             }
-            if (stall != null) {
-                stall.cancel(false);
+            if (stallTimer != null) {
+                stallTimer.cancel(false);
             }
         }
 
         /** Fails the attempt if the host has accepted none of the waiting body for the timeout; otherwise checks again
             later. */
-        private void awaitMove() {
+        private void checkWriteProgress() {
             long now = clock.getAsLong();
-            movedAt = rest.waits() ? movedAt : now;
-            if (now - movedAt >= timeout) {
-                stop(Outcome.DIAL_FAILED);
+            lastProgressAt = bodyRelay.waits() ? lastProgressAt : now;
+            if (now - lastProgressAt >= timeout) {
+                abort(Outcome.DIAL_FAILED);
             } else {
-                timer = loop.schedule(this::awaitMove, timeout - (now - movedAt), TimeUnit.MICROSECONDS);
+                timeoutTimer = loop.schedule(this::checkWriteProgress, timeout - (now - lastProgressAt), TimeUnit.MICROSECONDS);
             }
         }
 
         /** Ends the attempt and closes its connection, which tells the host to abandon the request. */
         void cancel() {
-            stop(Outcome.REVOKED);
+            abort(Outcome.REVOKED);
         }
 
         /** Cancels the attempt unless writing it has started. */
         void cancelIfUnsent() {
-            if (!sending) {
+            if (!writeStarted) {
                 cancel();
             }
         }
 
         private void expire() {
-            stop(sending ? Outcome.EXPIRED : Outcome.DIAL_FAILED);
+            abort(writeStarted ? Outcome.EXPIRED : Outcome.DIAL_FAILED);
         }
 
-        private void stop(Outcome outcome) {
-            if (!over) {
-                end(outcome, null);
+        private void abort(Outcome outcome) {
+            if (!finished) {
+                finish(outcome, null);
                 Assembler assembler = channel.pipeline().get(Assembler.class);
                 if (assembler != null) {
                     assembler.breakOff();  // or the close could pass for the end of a response that ends with it
@@ -404,16 +404,16 @@
             }
         }
 
-        private void end(Outcome outcome, FullHttpResponse answer) {
-            if (over) {
+        private void finish(Outcome outcome, FullHttpResponse response) {
+            if (finished) {
                 return;
             }
-            over = true;
+            finished = true;
             stopTimers();
-            if (!sending) {
-                message.release();
+            if (!writeStarted) {
+                request.release();
             }
-            ended.onEnd(outcome, answer);
+            listener.onEnd(outcome, response);
         }
     }
 
@@ -421,21 +421,21 @@
         persistent connection: where it ends would be a guess. */
     private static final class ResponseDecoder extends HttpResponseDecoder {
 
-        private boolean begun;
+        private boolean responseStarted;
 
         @Override
         protected HttpMessage createMessage(String[] line) {
-            begun = true;
+            responseStarted = true;
             return super.createMessage(line);
         }
 
         @Override
         protected boolean isContentAlwaysEmpty(HttpMessage message) {
             boolean empty = super.isContentAlwaysEmpty(message);
-            boolean length = HttpUtil.isContentLengthSet(message);
-            boolean chunks = HttpUtil.isTransferEncodingChunked(message);
-            boolean endsWithConnection = !length && !chunks && !HttpUtil.isKeepAlive(message);
-            if (!empty && length == chunks && !endsWithConnection) {
+            boolean hasLength = HttpUtil.isContentLengthSet(message);
+            boolean isChunked = HttpUtil.isTransferEncodingChunked(message);
+            boolean endsWithConnection = !hasLength && !isChunked && !HttpUtil.isKeepAlive(message);
+            if (!empty && hasLength == isChunked && !endsWithConnection) {
                 throw new IllegalArgumentException("a response with no length, or with a length and chunks");
             }
             return empty;
@@ -451,8 +451,8 @@
         }
 
         /** Whether a part of a response, or of invalid data, has been received. */
-        boolean midway() {
-            return begun || actualReadableBytes() > 0;
+        boolean hasPartialInput() {
+            return responseStarted || actualReadableBytes() > 0;
         }
     }
 
@@ -460,89 +460,89 @@
     private final class HostConnection extends SimpleChannelInboundHandler<Assembler.Part> {
 
         private final Channel channel;
-        private final ResponseDecoder answers;
-        private final Assembler assembler;
-        private Relay relay;  // of the response that is being streamed, or null
-        private PooledHost peer;
-        private InetSocketAddress at;
-        private long born;
+        private final ResponseDecoder decoder;
+        private final Assembler aggregator;
+        private Relay responseRelay;  // of the response that is being streamed, or null
+        private PooledHost host;
+        private InetSocketAddress address;
+        private long hostStartedAt;
         private Attempt attempt;
-        private boolean answered;
-        private boolean knownLong;  // whether the streamed response has a Content-Length
+        private boolean responseComplete;
+        private boolean lengthKnown;  // whether the streamed response has a Content-Length
         private boolean keepAlive;
-        private int interim;
+        private int interimResponses;
         private long idleSince;
 
-        HostConnection(Channel channel, ResponseDecoder answers, Assembler assembler) {
+        HostConnection(Channel channel, ResponseDecoder decoder, Assembler aggregator) {
             this.channel = channel;
-            this.answers = answers;
-            this.assembler = assembler;
+            this.decoder = decoder;
+            this.aggregator = aggregator;
         }
 
         /** Writes an attempt that waited for this connection, unless the host may no longer be used or the caller
             withdraws. */
-        private void writeLate(Attempt next) {
-            if (clock.getAsLong() < peer.sendUntil && leadsToTheHost() && next.ended.mayWrite()) {
+        private void writeIfAllowed(Attempt next) {
+            if (clock.getAsLong() < host.sendDeadline && isCurrent() && next.listener.mayWrite()) {
                 write(next);
             } else {
-                next.end(Outcome.UNUSED, null);
+                next.finish(Outcome.UNUSED, null);
                 channel.close();
             }
         }
 
         /** Whether the host has neither moved nor restarted since this connection was opened. */
-        private boolean leadsToTheHost() {
-            return at.equals(peer.at) && born == peer.born;
+        private boolean isCurrent() {
+            return address.equals(host.address) && hostStartedAt == host.startedAt;
         }
 
         private void write(Attempt next) {
             long now = clock.getAsLong();
             next.channel = channel;
             attempt = next;
-            next.sending = true;
-            next.message.headers().set(HttpHeaderNames.HOST, NetUtil.toSocketAddressString(at))
-                    .set(EXPIRES_HEADER, Math.max(1, (next.ends - now) / 1000));
-            if (next.rest == null) {
-                channel.writeAndFlush(next.message).addListener(done -> written(next, done.isSuccess()));
+            next.writeStarted = true;
+            next.request.headers().set(HttpHeaderNames.HOST, NetUtil.toSocketAddressString(address))
+                    .set(EXPIRES_HEADER, Math.max(1, (next.deadline - now) / 1000));
+            if (next.bodyRelay == null) {
+                channel.writeAndFlush(next.request).addListener(done -> requestWritten(next, done.isSuccess()));
             } else {
-                relay(next);
+                streamRequest(next);
             }
         }
 
-        private void written(Attempt mine, boolean whole) {
-            mine.written = whole;
-            if (whole) {
-                mine.ended.onRequestWritten();
+        private void requestWritten(Attempt sent, boolean complete) {
+            sent.requestWritten = complete;
+            if (complete) {
+                sent.listener.onRequestWritten();
             } else {
                 channel.close();
             }
         }
 
-        private void relay(Attempt mine) {
-            FullHttpRequest from = mine.message;
-            HttpRequest head = new DefaultHttpRequest(from.protocolVersion(), from.method(), from.uri(), from.headers());
+        private void streamRequest(Attempt sent) {
+            FullHttpRequest request = sent.request;
+            HttpRequest head = new DefaultHttpRequest(request.protocolVersion(), request.method(), request.uri(), request.headers());
             channel.write(head);
-            channel.writeAndFlush(new DefaultHttpContent(from.content()));
-            mine.stopTimers();
-            if (mine.rest.full() || mine.rest.over()) {  // reading was paused: the rest may have been received long ago
-                mine.timeout = mine.ends - clock.getAsLong();
-            }
-            mine.movedAt = clock.getAsLong();
-            mine.awaitMove();
-            mine.ended.onRequestStreaming();
-            mine.rest.writeTo(channel, whole -> {
-                if (whole && !mine.over) {
-                    mine.startTimer();
+            channel.writeAndFlush(new DefaultHttpContent(request.content()));
+            sent.stopTimers();
+            if (sent.bodyRelay.full() || sent.bodyRelay.over()) {  // reading was paused: the rest may have been received long ago
+                sent.timeout = sent.deadline - clock.getAsLong();
+            }
+            sent.lastProgressAt = clock.getAsLong();
+            sent.checkWriteProgress();
+            sent.listener.onRequestStreaming();
+            sent.bodyRelay.writeTo(channel, complete -> {
+                if (complete && !sent.finished) {
+                    sent.startTimer();
                 }
-                written(mine, whole);
+                requestWritten(sent, complete);
             });
         }
 
         @Override
         public void channelWritabilityChanged(ChannelHandlerContext context) {
-            if (attempt != null && attempt.rest != null && !attempt.written) {
-                attempt.movedAt = clock.getAsLong();
-                attempt.rest.goOn();
+            if (attempt != null && attempt.bodyRelay != null && !attempt.requestWritten) {
+                attempt.lastProgressAt = clock.getAsLong();
+                attempt.bodyRelay.goOn();
             }
         }
 
@@ -550,112 +550,112 @@
             response to the next request. {@link #channelReadComplete} returns it. */
         @Override
         protected void channelRead0(ChannelHandlerContext context, Assembler.Part part) {
-            FullHttpResponse answer = (FullHttpResponse) part.message();
+            FullHttpResponse response = (FullHttpResponse) part.message();
             try {
                 if (part.rest() == null) {
-                    answered(answer);
+                    responseReceived(response);
                 } else {
-                    begun(answer, part.rest());
+                    startStreaming(response, part.rest());
                 }
             } finally {
-                answer.release();
+                response.release();
             }
         }
 
-        private void answered(FullHttpResponse answer) {
-            answers.begun = false;
-            boolean whole = answer.decoderResult().isSuccess()
-                    && !answer.status().equals(HttpResponseStatus.SWITCHING_PROTOCOLS);
-            if (whole && answer.status().codeClass() == HttpStatusClass.INFORMATIONAL && ++interim <= INTERIM_ANSWERS_MOST) {
+        private void responseReceived(FullHttpResponse response) {
+            decoder.responseStarted = false;
+            boolean valid = response.decoderResult().isSuccess()
+                    && !response.status().equals(HttpResponseStatus.SWITCHING_PROTOCOLS);
+            if (valid && response.status().codeClass() == HttpStatusClass.INFORMATIONAL && ++interimResponses <= MAX_INTERIM_RESPONSES) {
                 return;
             }
-            whole &= answer.status().codeClass() != HttpStatusClass.INFORMATIONAL;
-            Attempt mine = attempt;
+            valid &= response.status().codeClass() != HttpStatusClass.INFORMATIONAL;
+            Attempt current = attempt;
             attempt = null;
-            if (mine == null) {
-                strayed();
+            if (current == null) {
+                unexpectedDataReceived();
             }
-            answered = mine != null && !mine.over && mine.written && whole && HttpUtil.isKeepAlive(answer);
+            responseComplete = current != null && !current.finished && current.requestWritten && valid && HttpUtil.isKeepAlive(response);
             idleSince = clock.getAsLong();
-            if (!answered) {
+            if (!responseComplete) {
                 channel.close();
             }
-            if (mine != null) {
-                mine.end(whole ? outcome(answer) : Outcome.DROPPED, answer);
+            if (current != null) {
+                current.finish(valid ? outcome(response) : Outcome.DROPPED, response);
             }
         }
 
         /** Notes that the host sent data that belongs to no request. */
-        private void strayed() {
-            if (peer != null) {
-                peer.strayUntil = clock.getAsLong() + STRAY_KEPT_MICROS;
+        private void unexpectedDataReceived() {
+            if (host != null) {
+                host.reuseDelayedUntil = clock.getAsLong() + REUSE_DELAY_PERIOD_MICROS;
             }
         }
 
         /** Streams a long response if it is a success and its request has been written completely. Otherwise ends the
             attempt, for which the status is enough. */
-        private void begun(FullHttpResponse answer, Relay rest) {
-            Attempt mine = attempt;
-            if (mine == null || mine.over || !mine.written || outcome(answer) != Outcome.DELIVERED) {
-                rest.abandon();
+        private void startStreaming(FullHttpResponse response, Relay bodyRelay) {
+            Attempt current = attempt;
+            if (current == null || current.finished || !current.requestWritten || outcome(response) != Outcome.DELIVERED) {
+                bodyRelay.abandon();
                 channel.close();
                 attempt = null;
-                if (mine != null) {
-                    mine.end(outcome(answer) == Outcome.DELIVERED ? Outcome.DROPPED : outcome(answer), null);
+                if (current != null) {
+                    current.finish(outcome(response) == Outcome.DELIVERED ? Outcome.DROPPED : outcome(response), null);
                 }
                 return;
             }
-            mine.stopTimers();
-            relay = rest;
-            knownLong = HttpUtil.isContentLengthSet(answer);
-            keepAlive = HttpUtil.isKeepAlive(answer);
-            rest.onPace(() -> {
-                channel.config().setAutoRead(!rest.full());
-                if (!rest.full() && !mine.over) {
-                    awaitMore(mine);  // waiting for the host again, with a full timeout
+            current.stopTimers();
+            responseRelay = bodyRelay;
+            lengthKnown = HttpUtil.isContentLengthSet(response);
+            keepAlive = HttpUtil.isKeepAlive(response);
+            bodyRelay.onPace(() -> {
+                channel.config().setAutoRead(!bodyRelay.full());
+                if (!bodyRelay.full() && !current.finished) {
+                    startStallTimer(current);  // waiting for the host again, with a full timeout
                 }
             });
-            mine.ended.onResponseStart(answer, rest);
-            awaitMore(mine);
+            current.listener.onResponseStart(response, bodyRelay);
+            startStallTimer(current);
         }
 
         /** Ends the attempt if its streamed response is complete; otherwise restarts the stall timer. */
-        private void relayed() {
-            Attempt mine = attempt;
-            if (relay.over()) {
-                boolean whole = relay.whole();
+        private void responseDataStreamed() {
+            Attempt current = attempt;
+            if (responseRelay.over()) {
+                boolean complete = responseRelay.whole();
                 attempt = null;
-                relay = null;
-                answers.begun = false;
-                answered = whole && keepAlive;
+                responseRelay = null;
+                decoder.responseStarted = false;
+                responseComplete = complete && keepAlive;
                 idleSince = clock.getAsLong();
-                mine.end(whole ? Outcome.DELIVERED : Outcome.DROPPED, null);
+                current.finish(complete ? Outcome.DELIVERED : Outcome.DROPPED, null);
             } else {
-                awaitMore(mine);
+                startStallTimer(current);
             }
         }
 
-        private void awaitMore(Attempt mine) {
-            if (mine.stall != null) {
-                mine.stall.cancel(false);
+        private void startStallTimer(Attempt current) {
+            if (current.stallTimer != null) {
+                current.stallTimer.cancel(false);
             }
-            mine.stall = loop.schedule(() -> {
-                if (relay != null && relay.full()) {  // waiting for the client, not for the host
-                    awaitMore(mine);
+            current.stallTimer = loop.schedule(() -> {
+                if (responseRelay != null && responseRelay.full()) {  // waiting for the client, not for the host
+                    startStallTimer(current);
                 } else {
-                    mine.stop(Outcome.DROPPED);
+                    current.abort(Outcome.DROPPED);
                 }
-            }, patience(mine), TimeUnit.MICROSECONDS);
+            }, stallTimeout(current), TimeUnit.MICROSECONDS);
         }
 
         /** How long the next part of a response may take, in microseconds. A streamed response has until the request's
             deadline; one that is known to be long may take longer, as long as it makes progress. */
-        private long patience(Attempt mine) {
-            if (relay == null) {
-                return STALL_MICROS;
+        private long stallTimeout(Attempt current) {
+            if (responseRelay == null) {
+                return STALL_TIMEOUT_MICROS;
             }
-            boolean isLong = knownLong || assembler.bytes() > Assembler.HELD_BYTES_MOST;
-            return isLong ? RELAY_STALL_MICROS : Math.max(STALL_MICROS, mine.ends - clock.getAsLong());
+            boolean isLong = lengthKnown || aggregator.bytes() > Assembler.HELD_BYTES_MOST;
+            return isLong ? STREAM_STALL_TIMEOUT_MICROS : Math.max(STALL_TIMEOUT_MICROS, current.deadline - clock.getAsLong());
         }
 
         /** All received data has been read. Returns the connection to the pool if the response was complete and nothing
@@ -663,42 +663,42 @@
             response. */
         @Override
         public void channelReadComplete(ChannelHandlerContext context) {
-            if (relay != null) {
-                relayed();
+            if (responseRelay != null) {
+                responseDataStreamed();
             }
             if (attempt != null) {
-                if (relay == null && answers.midway()) {
-                    awaitMore(attempt);
-                    passOnOpenEnded(context, attempt);
+                if (responseRelay == null && decoder.hasPartialInput()) {
+                    startStallTimer(attempt);
+                    streamIfSlow(context, attempt);
                 }
-            } else if (answered && !answers.midway() && peer.sendUntil == Long.MAX_VALUE && leadsToTheHost()) {
-                interim = 0;
-                peer.idle.push(this);
+            } else if (responseComplete && !decoder.hasPartialInput() && host.sendDeadline == Long.MAX_VALUE && isCurrent()) {
+                interimResponses = 0;
+                host.idleConnections.push(this);
             } else {
-                if (answers.midway()) {
-                    strayed();
+                if (decoder.hasPartialInput()) {
+                    unexpectedDataReceived();
                 }
                 channel.close();
             }
-            answered = false;
+            responseComplete = false;
         }
 
         /** Streams a response of unknown length once it has taken long enough. Called only when data has just arrived:
             a response that has stalled may still be fetched from another host. */
-        private void passOnOpenEnded(ChannelHandlerContext context, Attempt mine) {
-            if (assembler.holdsOpenEnded()) {
+        private void streamIfSlow(ChannelHandlerContext context, Attempt current) {
+            if (aggregator.holdsOpenEnded()) {
                 long now = clock.getAsLong();
-                mine.firstAt = mine.firstAt == 0 ? now : mine.firstAt;
-                if (now - mine.firstAt >= OPEN_ENDED_HELD_MICROS) {
-                    assembler.relay(context.pipeline().context(assembler));
+                current.responseSeenAt = current.responseSeenAt == 0 ? now : current.responseSeenAt;
+                if (now - current.responseSeenAt >= MAX_AGGREGATION_MICROS) {
+                    aggregator.relay(context.pipeline().context(aggregator));
                 }
             }
         }
 
-        private Outcome outcome(FullHttpResponse answer) {
-            return switch (answer.status().code()) {
+        private Outcome outcome(FullHttpResponse response) {
+            return switch (response.status().code()) {
                 case 200 -> Outcome.DELIVERED;
-                case 503, 504 -> "1".equals(answer.headers().get("X-Never-Ran")) ? Outcome.SHED : Outcome.ERROR;
+                case 503, 504 -> "1".equals(response.headers().get("X-Never-Ran")) ? Outcome.SHED : Outcome.ERROR;
                 default -> Outcome.ERROR;
             };
         }
@@ -706,17 +706,17 @@
         @Override
         public void userEventTriggered(ChannelHandlerContext context, Object event) {
             if (event == TcpChannel.WriteDeferred.INSTANCE) {
-                tally.increment(GatewayMetrics.Counter.WRITES_DEFERRED);
-                log.add(EventLog.Event.WRITE_DEFERRED, "at", at);
+                metrics.increment(GatewayMetrics.Counter.WRITES_DEFERRED);
+                log.add(EventLog.Event.WRITE_DEFERRED, "at", address);
             }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
             if (attempt != null) {
-                attempt.end(attempt.written ? Outcome.DROPPED : Outcome.DIAL_FAILED, null);
-            } else if (peer != null) {
-                peer.idle.remove(this);
+                attempt.finish(attempt.requestWritten ? Outcome.DROPPED : Outcome.DIAL_FAILED, null);
+            } else if (host != null) {
+                host.idleConnections.remove(this);
             }
         }
 
@@ -728,7 +728,7 @@
                     || cause instanceof PrematureChannelClosureException)) {
                 log.fault("fault at a host's connection: " + cause);
             } else if (attempt != null) {
-                log.add(EventLog.Event.UPSTREAM_FAILED, "at", at, "cause", cause, "written", attempt.written);
+                log.add(EventLog.Event.UPSTREAM_FAILED, "at", address, "cause", cause, "written", attempt.requestWritten);
             }
             context.close();
         }
--- a/src/main/java/mastdrift/net/JsonFrameDetector.java
+++ b/src/main/java/mastdrift/net/JsonFrameDetector.java
@@ -5,26 +5,26 @@
 final class JsonFrameDetector {
 
     private int depth;
-    private boolean text;  // within a JSON string
+    private boolean inString;  // within a JSON string
     private boolean escaped;
-    private boolean empty = true;  // whether the current line is blank so far
+    private boolean blankLine = true;  // whether the current line is blank so far
 
     /** Reads the next byte and returns whether it ends a line outside of any object: the last line of one, or one
         between two. Throws IllegalArgumentException for an incomplete object. */
-    boolean ends(byte next) {
+    boolean endsFrame(byte next) {
         if (next == '\n') {
-            if (depth > 0 && empty) {
+            if (depth > 0 && blankLine) {
                 throw new IllegalArgumentException("an incomplete list: empty line within a JSON object");
             }
-            empty = true;
+            blankLine = true;
             return depth <= 0;
         }
-        empty &= next == ' ' || next == '\r' || next == '\t';
-        if (text) {
-            text = escaped || next != '"';
+        blankLine &= next == ' ' || next == '\r' || next == '\t';
+        if (inString) {
+            inString = escaped || next != '"';
             escaped = !escaped && next == '\\';
         } else if (next == '"') {
-            text = true;
+            inString = true;
         } else if (next == '{' || next == '[') {
             depth++;
         } else if (next == '}' || next == ']') {
@@ -34,8 +34,8 @@
     }
 
     /** Expects a new object from the next byte on. */
-    void begin() {
+    void startFrame() {
         depth = 0;
-        text = escaped = false;
+        inString = escaped = false;
     }
 }
--- a/src/main/java/mastdrift/net/Lifecycle.java
+++ b/src/main/java/mastdrift/net/Lifecycle.java
@@ -12,7 +12,7 @@
     private boolean started;
     private boolean standby;
     private boolean stopping;
-    private Runnable changed = () -> { };
+    private Runnable onChange = () -> { };
 
     synchronized State state() {
         if (stopping) {
@@ -26,27 +26,27 @@
         return state() == State.ACTIVE;
     }
 
-    /** Notes that clients can be served. {@code onChange} runs now and at each later change of standby, on the thread
+    /** Notes that clients can be served. {@code listener} runs now and at each later change of standby, on the thread
         that makes it. */
-    void markStarted(Runnable then) {
+    void markStarted(Runnable listener) {
         synchronized (this) {
             started = true;
-            changed = then;
+            onChange = listener;
         }
-        then.run();
+        listener.run();
     }
 
     /** Sets or ends standby. Returns false where the gateway is stopping and can't become active again. */
     boolean setStandby(boolean wanted) {
-        Runnable then;
+        Runnable listener;
         synchronized (this) {
             if (stopping) {
                 return wanted;
             }
             standby = wanted;
-            then = changed;
+            listener = onChange;
         }
-        then.run();
+        listener.run();
         return true;
     }
 
--- a/src/main/java/mastdrift/net/LogWriter.java
+++ b/src/main/java/mastdrift/net/LogWriter.java
@@ -22,14 +22,14 @@
 
     /** Bound of the queue, in characters. */
     static final int MAX_QUEUED_CHARS = 256 << 10;
-    private static final int ENTRY_CHARS = 64;  // counted for each line, so that empty lines are bounded too
-    private static final long FULL_RETRY_MILLIS = 10;  // pause while a non-blocking output accepts nothing
+    private static final int ENTRY_OVERHEAD_CHARS = 64;  // counted for each line, so that empty lines are bounded too
+    private static final long WRITE_RETRY_MILLIS = 10;  // pause while a non-blocking output accepts nothing
 
     /** A line to be written, or where the line is null a marker that releases a caller of {@link #flush}. */
     private record Entry(String line, CountDownLatch reached) {
 
         int chars() {
-            return line == null ? 0 : line.length() + ENTRY_CHARS;
+            return line == null ? 0 : line.length() + ENTRY_OVERHEAD_CHARS;
         }
     }
 
@@ -40,8 +40,8 @@
     private final AtomicLong dropped = new AtomicLong();
     private final Thread thread = new Thread(this::run, "log-writer");
     // Used on the writer's thread only.
-    private long droppedTold;
-    private boolean lineCut;  // the output ends with an incomplete line
+    private long droppedReported;
+    private boolean incompleteLine;  // the output ends with an incomplete line
 
     private LogWriter(WritableByteChannel output, Runnable onDrop) {
         this.output = output;
@@ -70,17 +70,17 @@
             drop();
             return;
         }
-        add(entry);
+        enqueue(entry);
     }
 
     /** Waits until all lines queued so far are written or dropped, at most that long; returns whether they are. */
     boolean flush(long millis) throws InterruptedException {
         CountDownLatch reached = new CountDownLatch(1);
-        add(new Entry(null, reached));
+        enqueue(new Entry(null, reached));
         return reached.await(millis, TimeUnit.MILLISECONDS);
     }
 
-    private void add(Entry entry) {
+    private void enqueue(Entry entry) {
         queue.add(entry);
         LockSupport.unpark(thread);
     }
@@ -106,8 +106,8 @@
 
     private void writeLine(String line) {
         long droppedNow = dropped.get();
-        if (droppedNow > droppedTold && write("event=log_lines_dropped lines=" + (droppedNow - droppedTold))) {
-            droppedTold = droppedNow;
+        if (droppedNow > droppedReported && write("event=log_lines_dropped lines=" + (droppedNow - droppedReported))) {
+            droppedReported = droppedNow;
         }
         if (!write(line)) {
             drop();
@@ -115,17 +115,17 @@
     }
 
     private boolean write(String line) {
-        ByteBuffer bytes = StandardCharsets.UTF_8.encode((lineCut ? "\n" : "") + line + "\n");
+        ByteBuffer bytes = StandardCharsets.UTF_8.encode((incompleteLine ? "\n" : "") + line + "\n");
         try {
             while (bytes.hasRemaining()) {
                 if (output.write(bytes) == 0) {
-                    LockSupport.parkNanos(this, TimeUnit.MILLISECONDS.toNanos(FULL_RETRY_MILLIS));
+                    LockSupport.parkNanos(this, TimeUnit.MILLISECONDS.toNanos(WRITE_RETRY_MILLIS));
                 }
             }
-            lineCut = false;
+            incompleteLine = false;
             return true;
-        } catch (IOException refused) {
-            lineCut |= bytes.position() > 0;
+        } catch (IOException failure) {
+            incompleteLine |= bytes.position() > 0;
             return false;
         }
     }
--- a/src/main/java/mastdrift/net/LoopMonitor.java
+++ b/src/main/java/mastdrift/net/LoopMonitor.java
@@ -21,10 +21,10 @@
         /** The thread neither ran nor was ready to run. */
         BLOCKED(GatewayMetrics.Counter.LOOP_LATE_BLOCKED);
 
-        private final GatewayMetrics.Counter count;
+        private final GatewayMetrics.Counter counter;
 
-        Cause(GatewayMetrics.Counter count) {
-            this.count = count;
+        Cause(GatewayMetrics.Counter counter) {
+            this.counter = counter;
         }
     }
 
@@ -34,20 +34,20 @@
     static final long MAX_DELAY_MICROS = 150_000;
 
     private final LongSupplier clock;
-    private final Supplier<ThreadTimes.Sample> times;
-    private final GatewayMetrics tally;
+    private final Supplier<ThreadTimes.Sample> threadTimes;
+    private final GatewayMetrics metrics;
     private final EventLog log;
-    private long lookedAt;  // 0 before the first check
-    private ThreadTimes.Sample before;
-    private WeakReference<Object> untilCollection = new WeakReference<>(new Object());
-    private Task longest;
-    private long longestTook;
+    private long lastCheckAt;  // 0 before the first check
+    private ThreadTimes.Sample previousSample;
+    private WeakReference<Object> garbageCollectionMarker = new WeakReference<>(new Object());
+    private Task longestTask;
+    private long longestTaskMicros;
 
     /** {@code times} gives the CPU times of the loop's thread, or null where they can't be read. */
-    LoopMonitor(LongSupplier clock, Supplier<ThreadTimes.Sample> times, GatewayMetrics tally, EventLog log) {
+    LoopMonitor(LongSupplier clock, Supplier<ThreadTimes.Sample> threadTimes, GatewayMetrics metrics, EventLog log) {
         this.clock = clock;
-        this.times = times;
-        this.tally = tally;
+        this.threadTimes = threadTimes;
+        this.metrics = metrics;
         this.log = log;
     }
 
@@ -57,50 +57,50 @@
     }
 
     /** Notes the end of a task that started at that time. */
-    void taskEnded(Task task, long begunAt) {
-        long took = clock.getAsLong() - begunAt;
-        if (took > longestTook) {
-            longest = task;
-            longestTook = took;
+    void taskEnded(Task task, long startedAt) {
+        long took = clock.getAsLong() - startedAt;
+        if (took > longestTaskMicros) {
+            longestTask = task;
+            longestTaskMicros = took;
         }
     }
 
     /** To be called every {@link #CHECK_INTERVAL_MICROS}; logs if this call, or a task since the last one, was late. */
     void check() {
         long now = clock.getAsLong();
-        ThreadTimes.Sample sample = times.get();
-        if (lookedAt != 0) {
-            long wall = now - lookedAt;
-            long late = Math.max(wall - CHECK_INTERVAL_MICROS, longestTook);
+        ThreadTimes.Sample sample = threadTimes.get();
+        if (lastCheckAt != 0) {
+            long wall = now - lastCheckAt;
+            long late = Math.max(wall - CHECK_INTERVAL_MICROS, longestTaskMicros);
             if (late > MAX_DELAY_MICROS) {
-                tell(wall, late, sample);
+                report(wall, late, sample);
             }
         }
-        lookedAt = now;
-        before = sample;
-        longest = null;
-        longestTook = 0;
-        if (untilCollection.get() == null) {
-            untilCollection = new WeakReference<>(new Object());
+        lastCheckAt = now;
+        previousSample = sample;
+        longestTask = null;
+        longestTaskMicros = 0;
+        if (garbageCollectionMarker.get() == null) {
+            garbageCollectionMarker = new WeakReference<>(new Object());
         }
     }
 
-    private void tell(long wall, long late, ThreadTimes.Sample sample) {
-        tally.increment(GatewayMetrics.Counter.LOOP_LATE);
+    private void report(long wall, long late, ThreadTimes.Sample sample) {
+        metrics.increment(GatewayMetrics.Counter.LOOP_LATE);
         Long cpu = null;
         Long runDelay = null;
         Long blocked = null;
         Cause cause = null;
-        if (sample != null && before != null) {
-            cpu = sample.cpuMicros() - before.cpuMicros();
-            runDelay = sample.runDelayMicros() - before.runDelayMicros();
+        if (sample != null && previousSample != null) {
+            cpu = sample.cpuMicros() - previousSample.cpuMicros();
+            runDelay = sample.runDelayMicros() - previousSample.runDelayMicros();
             blocked = Math.max(0, late - cpu - runDelay);
             cause = cause(cpu, runDelay, blocked);
-            tally.increment(cause.count);
+            metrics.increment(cause.counter);
         }
         log.add(EventLog.Event.LOOP_LATE, "late_us", late, "cause", cause, "wall_us", wall, "cpu_us", cpu,
-                "run_delay_us", runDelay, "blocked_us", blocked, "collected", untilCollection.get() == null,
-                "longest_task", longest, "longest_us", longest == null ? null : longestTook);
+                "run_delay_us", runDelay, "blocked_us", blocked, "collected", garbageCollectionMarker.get() == null,
+                "longest_task", longestTask, "longest_us", longestTask == null ? null : longestTaskMicros);
     }
 
     private static Cause cause(long cpu, long runDelay, long blocked) {
--- a/src/main/java/mastdrift/net/ThreadTimes.java
+++ b/src/main/java/mastdrift/net/ThreadTimes.java
@@ -11,10 +11,10 @@
     /** Totals since the thread's start, in microseconds. */
     record Sample(long cpuMicros, long runDelayMicros) { }
 
-    private static final String SCHEDSTAT = "/proc/thread-self/schedstat";
-    private static final int BYTES_MOST = 96;
+    private static final String SCHEDSTAT_FILE = "/proc/thread-self/schedstat";
+    private static final int MAX_LINE_BYTES = 96;
 
-    private final byte[] bytes = new byte[BYTES_MOST];
+    private final byte[] buffer = new byte[MAX_LINE_BYTES];
     private RandomAccessFile file;
     private boolean unreadable;
 
@@ -25,10 +25,10 @@
         }
         try {
             if (file == null) {
-                file = new RandomAccessFile(SCHEDSTAT, "r");  // stays open, since there may be no free descriptor later
+                file = new RandomAccessFile(SCHEDSTAT_FILE, "r");  // stays open, since there may be no free descriptor later
             }
             file.seek(0);
-            return parse(new String(bytes, 0, Math.max(0, file.read(bytes)), StandardCharsets.US_ASCII));
+            return parse(new String(buffer, 0, Math.max(0, file.read(buffer)), StandardCharsets.US_ASCII));
         } catch (IOException | IllegalArgumentException e) {
             unreadable = true;
             return null;
