--- a/src/main/java/mastdrift/net/AdminServer.java
+++ b/src/main/java/mastdrift/net/AdminServer.java
@@ -63,7 +63,8 @@
                     @Override
                     protected void initChannel(Channel channel) {
                         admin.connectionAccepted(channel);
-                        channel.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(MAX_BODY_BYTES, true),
+                        channel.pipeline().addLast(new HttpServerCodec(),
+                                new HttpObjectAggregator(MAX_BODY_BYTES, true),
                                 admin.new RequestHandler());
                     }
                 }).bind(address).awaitUninterruptibly();
@@ -116,8 +117,10 @@
         return switch (new QueryStringDecoder(request.uri()).rawPath()) {
             case "/status" -> respondIfMethod(request, HttpMethod.GET, this::statusResponse);
             case "/status/metrics" -> respondIfMethod(request, HttpMethod.GET, this::metricsResponse);
-            case "/standby" -> respondIfMethod(request, HttpMethod.POST, () -> standbyResponse(lifecycle.setStandby(true)));
-            case "/active" -> respondIfMethod(request, HttpMethod.POST, () -> standbyResponse(lifecycle.setStandby(false)));
+            case "/standby" -> respondIfMethod(request, HttpMethod.POST,
+                    () -> standbyResponse(lifecycle.setStandby(true)));
+            case "/active" -> respondIfMethod(request, HttpMethod.POST,
+                    () -> standbyResponse(lifecycle.setStandby(false)));
             default -> textResponse(HttpResponseStatus.NOT_FOUND, "no such call\n");
         };
     }
@@ -127,7 +130,8 @@
         FullHttpResponse get();
     }
 
-    private static FullHttpResponse respondIfMethod(FullHttpRequest request, HttpMethod method, ResponseSupplier supplier) {
+    private static FullHttpResponse respondIfMethod(FullHttpRequest request, HttpMethod method,
+            ResponseSupplier supplier) {
         if (request.method().equals(method)) {
             return supplier.get();
         }
@@ -137,7 +141,8 @@
     }
 
     private FullHttpResponse statusResponse() {
-        return textResponse(lifecycle.isReady() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE, stateText());
+        return textResponse(lifecycle.isReady() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE,
+                stateText());
     }
 
     private FullHttpResponse metricsResponse() {
--- a/src/main/java/mastdrift/net/ClassPreloader.java
+++ b/src/main/java/mastdrift/net/ClassPreloader.java
@@ -21,12 +21,13 @@
     /** Loads all classes; ones that can't be loaded now are left to their first use. */
     static void load() {
         ClassLoader loader = ClassPreloader.class.getClassLoader();
-        loader.getResource(MISSING_RESOURCE);  // searching for it opens every archive of the class path, and they stay open
+        loader.getResource(MISSING_RESOURCE);  // the search opens all archives of the class path for good
         try {
             Path location = Path.of(ClassPreloader.class.getProtectionDomain().getCodeSource().getLocation().toURI());
             for (String file : Files.isDirectory(location) ? filesInDirectory(location) : filesInArchive(location)) {
                 if (file.endsWith(CLASS_SUFFIX)) {
-                    Class.forName(file.substring(0, file.length() - CLASS_SUFFIX.length()).replace('/', '.'), false, loader);
+                    Class.forName(file.substring(0, file.length() - CLASS_SUFFIX.length()).replace('/', '.'), false,
+                            loader);
                 }
             }
         } catch (IOException | URISyntaxException | ClassNotFoundException | LinkageError e) {
--- a/src/main/java/mastdrift/net/Config.java
+++ b/src/main/java/mastdrift/net/Config.java
@@ -23,8 +23,8 @@
     invalid. {@code adminAddress} is null where operators have no access. {@code socketInherited} is set where the
     platform holds the clients' listening socket and has passed it to this process as descriptor 0. {@code maxSockets}
     is the limit of descriptors, {@code initialHosts} the host list to start with. */
-record Config(InetSocketAddress listenAddress, boolean socketInherited, InetSocketAddress adminAddress, InetSocketAddress discoveryAddress,
-        int maxSockets, HostList initialHosts, Settings settings) {
+record Config(InetSocketAddress listenAddress, boolean socketInherited, InetSocketAddress adminAddress,
+        InetSocketAddress discoveryAddress, int maxSockets, HostList initialHosts, Settings settings) {
 
     /** Reads the file that the variable {@code NODE_CONFIG} names; other variables override its values. */
     static Config read(Map<String, String> environment) {
@@ -39,7 +39,8 @@
         }
         String admin = environment.getOrDefault("NODE_ADMIN", stringValue(root, "admin"));
         return new Config(parseAddress(environment.getOrDefault("NODE_LISTEN", stringValue(root, "listen"))),
-                !environment.getOrDefault("NODE_PASSED_SOCKET", "").isEmpty(), admin.isEmpty() ? null : parseAddress(admin),
+                !environment.getOrDefault("NODE_PASSED_SOCKET", "").isEmpty(),
+                admin.isEmpty() ? null : parseAddress(admin),
                 parseAddress(environment.getOrDefault("NODE_DISCOVERY", stringValue(root, "discovery"))),
                 root.get("limits") instanceof Map<?, ?> limits && limits.get("sockets") instanceof Integer sockets
                         ? sockets : Integer.MAX_VALUE,
@@ -89,7 +90,8 @@
         reads. */
     private static void flatten(String path, Object node, Map<String, String> values) {
         if (node instanceof Map<?, ?> object) {
-            object.forEach((name, value) -> flatten(path.isEmpty() ? name.toString() : path + "." + name, value, values));
+            object.forEach((name, value) -> flatten(path.isEmpty() ? name.toString() : path + "." + name, value,
+                    values));
         } else if (node instanceof List<?> list) {
             for (int i = 0; i < list.size(); i++) {
                 flatten(path + "." + i, list.get(i), values);
--- a/src/main/java/mastdrift/net/ConfigReloader.java
+++ b/src/main/java/mastdrift/net/ConfigReloader.java
@@ -32,7 +32,8 @@
         this(reader, onRead, onFailure, TimeUnit.MILLISECONDS::sleep);
     }
 
-    ConfigReloader(Supplier<InetSocketAddress> reader, Consumer<InetSocketAddress> onRead, Consumer<String> onFailure, Sleeper sleeper) {
+    ConfigReloader(Supplier<InetSocketAddress> reader, Consumer<InetSocketAddress> onRead, Consumer<String> onFailure,
+            Sleeper sleeper) {
         this.reader = reader;
         this.onRead = onRead;
         this.onFailure = onFailure;
--- a/src/main/java/mastdrift/net/DiscoveryClient.java
+++ b/src/main/java/mastdrift/net/DiscoveryClient.java
@@ -59,7 +59,9 @@
     private Channel fetchChannel;
     private long addressChangedAt = System.nanoTime() - TimeUnit.MILLISECONDS.toNanos(ADDRESS_CHANGE_MILLIS);
 
-    DiscoveryClient(EventLoop loop, InetSocketAddress address, long revision, Consumer<HostList> onList, Consumer<String> onFailure) {
+    /** Starts from that revision of the host list; {@code onFailure} gets the cause of a failed request. */
+    DiscoveryClient(EventLoop loop, InetSocketAddress address, long revision, Consumer<HostList> onList,
+            Consumer<String> onFailure) {
         this.loop = loop;
         this.address = address;
         this.revision = revision;
@@ -112,7 +114,8 @@
 
     private Channel sendRequest(String path, boolean watching) {
         Bootstrap bootstrap = new Bootstrap().group(loop).channelFactory(TcpChannel::new)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, addressChangedRecently() ? ADDRESS_CHANGE_CONNECT_TIMEOUT_MILLIS : CONNECT_TIMEOUT_MILLIS)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS,
+                        addressChangedRecently() ? ADDRESS_CHANGE_CONNECT_TIMEOUT_MILLIS : CONNECT_TIMEOUT_MILLIS)
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
@@ -187,7 +190,8 @@
         @Override
         public void handlerAdded(ChannelHandlerContext context) {
             buffer = context.alloc().heapBuffer();
-            startTimeout(context, addressChangedRecently() ? ADDRESS_CHANGE_CALL_TIMEOUT_MILLIS : CALL_TIMEOUT_MILLIS, "no answer in time");
+            startTimeout(context, addressChangedRecently() ? ADDRESS_CHANGE_CALL_TIMEOUT_MILLIS : CALL_TIMEOUT_MILLIS,
+                    "no answer in time");
         }
 
         @Override
@@ -265,7 +269,8 @@
         public void exceptionCaught(ChannelHandlerContext context, Throwable fault) {
             boolean invalid = fault instanceof IllegalArgumentException || fault instanceof ArithmeticException
                     || fault instanceof JsonProcessingException;
-            failureCause = invalid ? "odd answer: " + fault.getMessage().lines().findFirst().orElse("") : fault.toString();
+            failureCause = invalid ? "odd answer: " + fault.getMessage().lines().findFirst().orElse("")
+                    : fault.toString();
             context.close();
         }
     }
--- a/src/main/java/mastdrift/net/GatewayMetrics.java
+++ b/src/main/java/mastdrift/net/GatewayMetrics.java
@@ -19,9 +19,9 @@
         failed; DEPARTED, requests whose client disconnected, as neither. UNANSWERED counts connections that the gateway
         closed itself while a request on them was open. LOOP_LATE_* splits LOOP_LATE by cause. OFF_LOOP counts callbacks
         on a wrong thread. LOG_LINES_DROPPED counts lines that the output did not accept in time. */
-    enum Counter { TAKEN, REFUSED_AT_BOUND, OVERDUE, DEPARTED, CLIENTS_CAME, CLIENTS_PUSHED_OUT, UNANSWERED, ACCEPTS_FAILED,
-        HOST_DIALS, HOST_DIALS_FAILED, HOST_NO_ROOM, ATTEMPTS_WRITTEN, WRITES_DEFERRED, LOOP_LATE, LOOP_LATE_STARVED,
-        LOOP_LATE_BUSY, LOOP_LATE_BLOCKED, OFF_LOOP, RELOADS_OK, RELOADS_FAILED, LOG_LINES_DROPPED }
+    enum Counter { TAKEN, REFUSED_AT_BOUND, OVERDUE, DEPARTED, CLIENTS_CAME, CLIENTS_PUSHED_OUT, UNANSWERED,
+        ACCEPTS_FAILED, HOST_DIALS, HOST_DIALS_FAILED, HOST_NO_ROOM, ATTEMPTS_WRITTEN, WRITES_DEFERRED, LOOP_LATE,
+        LOOP_LATE_STARVED, LOOP_LATE_BUSY, LOOP_LATE_BLOCKED, OFF_LOOP, RELOADS_OK, RELOADS_FAILED, LOG_LINES_DROPPED }
 
     /** How a request ended whose client was still connected. */
     enum RequestOutcome { SERVED, REFUSED, FAILED }
@@ -91,7 +91,8 @@
         counted. */
     String logLine() {
         String counted = changes(Counter.values(), counter -> count(counter));
-        String ended = changes(RequestOutcome.values(), outcome -> requests.values().stream().mapToLong(sums -> sums.get(outcome).get()).sum());
+        String ended = changes(RequestOutcome.values(),
+                outcome -> requests.values().stream().mapToLong(sums -> sums.get(outcome).get()).sum());
         String attempts = changes(Outcome.values(), outcome -> outcomes.get(outcome).get());
         String highest = peaks.entrySet().stream().map(peak -> outerName(peak.getKey()) + "=" + peak.getValue())
                 .collect(Collectors.joining(" "));
--- a/src/main/java/mastdrift/net/HostConnectionPool.java
+++ b/src/main/java/mastdrift/net/HostConnectionPool.java
@@ -121,8 +121,8 @@
 
     /** Creates a pool of at most {@code maxConnections} connections. The clock and all durations are in
         microseconds. */
-    HostConnectionPool(EventLoop loop, LongSupplier clock, LoopMonitor monitor, long connectTimeout, long hostIdleTimeout, long drainGrace, int maxConnections,
-            GatewayMetrics metrics, EventLog log) {
+    HostConnectionPool(EventLoop loop, LongSupplier clock, LoopMonitor monitor, long connectTimeout,
+            long hostIdleTimeout, long drainGrace, int maxConnections, GatewayMetrics metrics, EventLog log) {
         this.loop = loop;
         this.clock = clock;
         this.drainGrace = Math.max(0, drainGrace - DRAIN_GRACE_MARGIN_MICROS);
@@ -246,11 +246,12 @@
 
             @Override
             public void failed(Throwable cause) {
-                connectionCount--;  // not by a close listener: where no descriptor was left there is no channel to close
+                connectionCount--;  // not in a close listener: without a free descriptor there is no channel to close
                 metrics.increment(GatewayMetrics.Counter.HOST_DIALS_FAILED);
                 log.add(EventLog.Event.DIAL_FAILED, "at", address, "cause", cause, "tries", tries);
                 if (Connector.isLocalFailure(cause) && tries < MAX_CONNECT_TRIES) {
-                    loop.schedule(() -> retryConnect(host, attempt, tries + 1), CONNECT_RETRY_MILLIS, TimeUnit.MILLISECONDS);
+                    loop.schedule(() -> retryConnect(host, attempt, tries + 1), CONNECT_RETRY_MILLIS,
+                            TimeUnit.MILLISECONDS);
                 } else {
                     attempt.finish(Outcome.DIAL_FAILED, null);
                 }
@@ -373,7 +374,8 @@
             if (now - lastProgressAt >= timeout) {
                 abort(Outcome.DIAL_FAILED);
             } else {
-                timeoutTimer = loop.schedule(this::checkWriteProgress, timeout - (now - lastProgressAt), TimeUnit.MICROSECONDS);
+                timeoutTimer = loop.schedule(this::checkWriteProgress, timeout - (now - lastProgressAt),
+                        TimeUnit.MICROSECONDS);
             }
         }
 
@@ -520,11 +522,12 @@
 
         private void streamRequest(Attempt sent) {
             FullHttpRequest request = sent.request;
-            HttpRequest head = new DefaultHttpRequest(request.protocolVersion(), request.method(), request.uri(), request.headers());
+            HttpRequest head = new DefaultHttpRequest(request.protocolVersion(), request.method(), request.uri(),
+                    request.headers());
             channel.write(head);
             channel.writeAndFlush(new DefaultHttpContent(request.content()));
             sent.stopTimers();
-            if (sent.bodyRelay.full() || sent.bodyRelay.over()) {  // reading was paused: the rest may have been received long ago
+            if (sent.bodyRelay.full() || sent.bodyRelay.over()) {  // the rest may have been received long ago
                 sent.timeout = sent.deadline - clock.getAsLong();
             }
             sent.lastProgressAt = clock.getAsLong();
@@ -566,7 +569,8 @@
             decoder.responseStarted = false;
             boolean valid = response.decoderResult().isSuccess()
                     && !response.status().equals(HttpResponseStatus.SWITCHING_PROTOCOLS);
-            if (valid && response.status().codeClass() == HttpStatusClass.INFORMATIONAL && ++interimResponses <= MAX_INTERIM_RESPONSES) {
+            if (valid && response.status().codeClass() == HttpStatusClass.INFORMATIONAL
+                    && ++interimResponses <= MAX_INTERIM_RESPONSES) {
                 return;
             }
             valid &= response.status().codeClass() != HttpStatusClass.INFORMATIONAL;
@@ -575,7 +579,8 @@
             if (current == null) {
                 unexpectedDataReceived();
             }
-            responseComplete = current != null && !current.finished && current.requestWritten && valid && HttpUtil.isKeepAlive(response);
+            responseComplete = current != null && !current.finished && current.requestWritten && valid
+                    && HttpUtil.isKeepAlive(response);
             idleSince = clock.getAsLong();
             if (!responseComplete) {
                 channel.close();
@@ -596,7 +601,8 @@
             attempt, for which the status is enough. */
         private void startStreaming(FullHttpResponse response, Relay bodyRelay) {
             Attempt current = attempt;
-            if (current == null || current.finished || !current.requestWritten || outcome(response) != Outcome.DELIVERED) {
+            if (current == null || current.finished || !current.requestWritten
+                    || outcome(response) != Outcome.DELIVERED) {
                 bodyRelay.abandon();
                 channel.close();
                 attempt = null;
@@ -655,7 +661,8 @@
                 return STALL_TIMEOUT_MICROS;
             }
             boolean isLong = lengthKnown || aggregator.bytes() > Assembler.HELD_BYTES_MOST;
-            return isLong ? STREAM_STALL_TIMEOUT_MICROS : Math.max(STALL_TIMEOUT_MICROS, current.deadline - clock.getAsLong());
+            return isLong ? STREAM_STALL_TIMEOUT_MICROS
+                    : Math.max(STALL_TIMEOUT_MICROS, current.deadline - clock.getAsLong());
         }
 
         /** All received data has been read. Returns the connection to the pool if the response was complete and nothing
@@ -671,7 +678,8 @@
                     startStallTimer(attempt);
                     streamIfSlow(context, attempt);
                 }
-            } else if (responseComplete && !decoder.hasPartialInput() && host.sendDeadline == Long.MAX_VALUE && isCurrent()) {
+            } else if (responseComplete && !decoder.hasPartialInput() && host.sendDeadline == Long.MAX_VALUE
+                    && isCurrent()) {
                 interimResponses = 0;
                 host.idleConnections.push(this);
             } else {
@@ -728,7 +736,8 @@
                     || cause instanceof PrematureChannelClosureException)) {
                 log.fault("fault at a host's connection: " + cause);
             } else if (attempt != null) {
-                log.add(EventLog.Event.UPSTREAM_FAILED, "at", address, "cause", cause, "written", attempt.requestWritten);
+                log.add(EventLog.Event.UPSTREAM_FAILED, "at", address, "cause", cause, "written",
+                        attempt.requestWritten);
             }
             context.close();
         }
--- a/src/main/java/mastdrift/net/HostList.java
+++ b/src/main/java/mastdrift/net/HostList.java
@@ -42,7 +42,8 @@
         // In microseconds of Unix time, which Gateway converts to its own clock.
         long startedAt = Math.multiplyExact(number(target, "boot_ms", 0).longValue(), 1000L);
         return new Entry(new Host(uid, Config.stringValue(target, "az"), number(target, "pod_group", 0).intValue(),
-                Config.stringValue(target, "model"), number(target, "capacity_hint", 1).doubleValue(), hostState, startedAt),
+                Config.stringValue(target, "model"), number(target, "capacity_hint", 1).doubleValue(), hostState,
+                startedAt),
                 Config.parseAddress(Config.stringValue(target, "endpoint")));
     }
 
@@ -50,8 +51,8 @@
     HostList withStartTimes(ToLongBiFunction<String, Long> conversion) {
         return new HostList(revision, full, entries.stream().map(entry -> {
             Host host = entry.host;
-            return new Entry(new Host(host.address(), host.zone(), host.cell(), host.model(), host.weight(), host.state(),
-                    conversion.applyAsLong(host.address(), host.startedAt())), entry.endpoint);
+            return new Entry(new Host(host.address(), host.zone(), host.cell(), host.model(), host.weight(),
+                    host.state(), conversion.applyAsLong(host.address(), host.startedAt())), entry.endpoint);
         }).toList());
     }
 
--- a/src/main/java/mastdrift/net/MetricsExposition.java
+++ b/src/main/java/mastdrift/net/MetricsExposition.java
@@ -16,15 +16,16 @@
         for (String name : metrics.classNames()) {
             for (GatewayMetrics.RequestOutcome outcome : GatewayMetrics.RequestOutcome.values()) {
                 text.append(PREFIX).append("requests_total{class=\"").append(escapeLabel(name)).append("\",outcome=\"")
-                        .append(outcome.name().toLowerCase(Locale.ROOT)).append("\"} ").append(metrics.count(name, outcome))
-                        .append('\n');
+                        .append(outcome.name().toLowerCase(Locale.ROOT)).append("\"} ")
+                        .append(metrics.count(name, outcome)).append('\n');
             }
         }
         appendMetric(text, "attempts_total", "counter", "Attempts that were written whole to hosts.",
                 metrics.count(GatewayMetrics.Counter.ATTEMPTS_WRITTEN));
         appendMetric(text, "in_flight", "gauge", "Requests that were taken and have not ended.",
                 metrics.gauge(GatewayMetrics.Gauge.IN_FLIGHT));
-        appendMetric(text, "hosts_known", "gauge", "Hosts in the list.", metrics.gauge(GatewayMetrics.Gauge.HOSTS_KNOWN));
+        appendMetric(text, "hosts_known", "gauge", "Hosts in the list.",
+                metrics.gauge(GatewayMetrics.Gauge.HOSTS_KNOWN));
         appendMetric(text, "hosts_excluded", "gauge", "Hosts in the list that get nothing new now.",
                 metrics.gauge(GatewayMetrics.Gauge.HOSTS_EXCLUDED));
         appendMetric(text, "reloads_ok_total", "counter", "Configurations that were taken at SIGHUP.",
@@ -32,20 +33,28 @@
         appendMetric(text, "reloads_failed_total", "counter", "Configurations that were not taken at SIGHUP.",
                 metrics.count(GatewayMetrics.Counter.RELOADS_FAILED));
         appendCounter(text, metrics, GatewayMetrics.Counter.ACCEPTS_FAILED, "Calls to accept that failed.");
-        appendCounter(text, metrics, GatewayMetrics.Counter.HOST_DIALS_FAILED, "Connections to hosts that did not come up.");
-        appendCounter(text, metrics, GatewayMetrics.Counter.WRITES_DEFERRED, "Writes that met a shortage of the system's and were made again.");
-        appendCounter(text, metrics, GatewayMetrics.Counter.UNANSWERED, "Clients' connections that were ended with a request open.");
+        appendCounter(text, metrics, GatewayMetrics.Counter.HOST_DIALS_FAILED,
+                "Connections to hosts that did not come up.");
+        appendCounter(text, metrics, GatewayMetrics.Counter.WRITES_DEFERRED,
+                "Writes that met a shortage of the system's and were made again.");
+        appendCounter(text, metrics, GatewayMetrics.Counter.UNANSWERED,
+                "Clients' connections that were ended with a request open.");
         appendCounter(text, metrics, GatewayMetrics.Counter.DEPARTED, "Requests whose client went away first.");
-        appendCounter(text, metrics, GatewayMetrics.Counter.LOOP_LATE, "Times that the event loop was late by over 0.15 s.");
-        appendCounter(text, metrics, GatewayMetrics.Counter.LOOP_LATE_STARVED, "Of these: waiting for a core, most of the time.");
+        appendCounter(text, metrics, GatewayMetrics.Counter.LOOP_LATE,
+                "Times that the event loop was late by over 0.15 s.");
+        appendCounter(text, metrics, GatewayMetrics.Counter.LOOP_LATE_STARVED,
+                "Of these: waiting for a core, most of the time.");
         appendCounter(text, metrics, GatewayMetrics.Counter.LOOP_LATE_BUSY, "Of these: at work, most of the time.");
-        appendCounter(text, metrics, GatewayMetrics.Counter.LOOP_LATE_BLOCKED, "Of these: neither, as in a call that blocks or a pause.");
+        appendCounter(text, metrics, GatewayMetrics.Counter.LOOP_LATE_BLOCKED,
+                "Of these: neither, as in a call that blocks or a pause.");
         appendCounter(text, metrics, GatewayMetrics.Counter.OFF_LOOP, "Callbacks on a wrong thread.");
-        appendCounter(text, metrics, GatewayMetrics.Counter.LOG_LINES_DROPPED, "Lines of the log that its output did not take.");
+        appendCounter(text, metrics, GatewayMetrics.Counter.LOG_LINES_DROPPED,
+                "Lines of the log that its output did not take.");
         return text.toString();
     }
 
-    private static void appendCounter(StringBuilder text, GatewayMetrics metrics, GatewayMetrics.Counter counter, String help) {
+    private static void appendCounter(StringBuilder text, GatewayMetrics metrics, GatewayMetrics.Counter counter,
+            String help) {
         appendMetric(text, counter.name().toLowerCase(Locale.ROOT) + "_total", "counter", help, metrics.count(counter));
     }
 
--- a/src/main/java/mastdrift/net/WarmUp.java
+++ b/src/main/java/mastdrift/net/WarmUp.java
@@ -44,7 +44,7 @@
     private static final int REQUEST_COUNT = 100;
     private static final int HOST_COUNT = 8;
     private static final int FAILURE_INTERVAL = 16;  // one request in so many fails, to warm up the failure paths
-    private static final int LONG_BODY_INTERVAL = 20;  // one request in so many has a long body, and so has its response
+    private static final int LONG_BODY_INTERVAL = 20;  // one request in so many, and its response, have a long body
     private static final int LONG_BODY_BYTES = Assembler.HELD_BYTES_MOST + (16 << 10);
     private static final int RESPONSE_TIMEOUT_MILLIS = 1000;
     private static final int MAX_FAILURES = 60;
@@ -68,12 +68,15 @@
                     }).bind(anyPort).sync().channel();
             InetSocketAddress hostAddress = (InetSocketAddress) hostStub.localAddress();
             List<HostList.Entry> hosts = IntStream.range(0, HOST_COUNT).mapToObj(i -> new HostList.Entry(
-                    new Host("rehearsal-" + i, config.settings().topology().zone(), 0, "", 1, HostState.IN_SERVICE, 0), hostAddress)).toList();
-            Config warmUpConfig = new Config(anyPort, false, null, hostAddress, config.maxSockets(), new HostList(0, true, hosts),
+                    new Host("rehearsal-" + i, config.settings().topology().zone(), 0, "", 1, HostState.IN_SERVICE, 0),
+                    hostAddress)).toList();
+            Config warmUpConfig = new Config(anyPort, false, null, hostAddress, config.maxSockets(),
+                    new HostList(0, true, hosts),
                     config.settings());
             Lifecycle lifecycle = new Lifecycle();
             ClientSide server = CompletableFuture.supplyAsync(() -> new ClientSide(loop, new Gateway(warmUpConfig, loop,
-                    System::nanoTime, new HeadroomBalancer(), warmUpConfig.newMetrics(), HOST_COUNT * 2, HOST_COUNT, line -> { }), config.settings(), HOST_COUNT, lifecycle), loop)
+                    System::nanoTime, new HeadroomBalancer(), warmUpConfig.newMetrics(), HOST_COUNT * 2, HOST_COUNT,
+                    line -> { }), config.settings(), HOST_COUNT, lifecycle), loop)
                     .join();
             server.listen(anyPort).sync();
             lifecycle.markStarted(() -> { });
@@ -109,7 +112,8 @@
     }
 
     /** Sends the requests from {@code next} on over one connection and advances {@code next}. */
-    private static void sendOnOneConnection(InetSocketAddress address, Config config, boolean longBodies, int[] next) throws IOException {
+    private static void sendOnOneConnection(InetSocketAddress address, Config config, boolean longBodies, int[] next)
+            throws IOException {
         String longBody = "-".repeat(LONG_BODY_BYTES);
         try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
             socket.setSoTimeout(RESPONSE_TIMEOUT_MILLIS);
@@ -132,8 +136,9 @@
         boolean isLong = longBodies && !safe && number % LONG_BODY_INTERVAL == LONG_BODY_INTERVAL - 1;
         return (number == 0 ? "GET /ready" : safe ? "GET /api" : "POST /api")
                 + " HTTP/1.1\r\nHost: rehearsal\r\nX-Trace-Id: " + number + "\r\nX-Qos: " + requestClass.name()
-                + "\r\nX-Customer: " + tenant + "\r\nX-Object: " + number % HOST_COUNT + "\r\n" + HostConnectionPool.EXPIRES_HEADER + ": "
-                + RESPONSE_TIMEOUT_MILLIS + (requestClass.idempotency() == Idempotency.KEYED ? "\r\nIdempotency-Key: " + number : "")
+                + "\r\nX-Customer: " + tenant + "\r\nX-Object: " + number % HOST_COUNT + "\r\n"
+                + HostConnectionPool.EXPIRES_HEADER + ": " + RESPONSE_TIMEOUT_MILLIS
+                + (requestClass.idempotency() == Idempotency.KEYED ? "\r\nIdempotency-Key: " + number : "")
                 + "\r\nContent-Length: " + (safe ? "0\r\n\r\n" : isLong ? LONG_BODY_BYTES + "\r\n\r\n" + longBody
                 : "4\r\n\r\nbody");
     }
@@ -142,7 +147,8 @@
         try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
             socket.setSoTimeout(RESPONSE_TIMEOUT_MILLIS);
             socket.getOutputStream().write((requestLine + " HTTP/1.1\r\n\r\n").getBytes(StandardCharsets.ISO_8859_1));
-            readResponse(new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.ISO_8859_1)));
+            readResponse(new BufferedReader(
+                    new InputStreamReader(socket.getInputStream(), StandardCharsets.ISO_8859_1)));
         }
     }
 
--- a/src/test/java/mastdrift/net/AdminServerTest.java
+++ b/src/test/java/mastdrift/net/AdminServerTest.java
@@ -41,7 +41,7 @@
     @TempDir
     private Path folder;
 
-    private Map<String, String> called(Server discovery, Server... hosts) throws Exception {
+    private Map<String, String> environmentWithAdmin(Server discovery, Server... hosts) throws Exception {
         List<String> entries = new ArrayList<>();
         for (Server host : hosts) {
             entries.add(entry("s" + entries.size(), host.address(), "a", "in_service"));
@@ -52,56 +52,56 @@
         return environment;
     }
 
-    private static String figure(Node node, String name) throws Exception {
+    private static String metric(Node node, String name) throws Exception {
         return node.call("GET /status/metrics").text().lines().filter(line -> line.startsWith("edge_node_" + name + " "))
                 .map(line -> line.substring(line.lastIndexOf(' ') + 1)).findFirst().orElse("missing");
     }
 
     /** Polls a metric until it has that value: it may lag behind the response by half a second. */
-    private static void awaitFigure(Node node, String name, String value) throws Exception {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(Loopback.WAIT_SECONDS);
-        for (String got = figure(node, name); !got.equals(value); got = figure(node, name)) {
-            assertTrue(System.nanoTime() < until, name + " is " + got + ", not " + value);
+    private static void awaitMetric(Node node, String name, String value) throws Exception {
+        long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(Loopback.WAIT_SECONDS);
+        for (String current = metric(node, name); !current.equals(value); current = metric(node, name)) {
+            assertTrue(System.nanoTime() < deadline, name + " is " + current + ", not " + value);
         }
     }
 
     @ParameterizedTest
     @CsvSource({"GET /status, 200", "GET /status/metrics?x=1, 200", "POST /active, 200", "GET /elsewhere, 404",
         "POST /status, 405", "GET /standby, 405", "nonsense, 400"})
-    void eachCallHasItsAnswer(String call, int status) throws Exception {
-        try (Server discovery = discovery(); Node node = new Node(called(discovery))) {
-            Message answer = node.call(call);
-            assertEquals(status, answer.status());
-            assertEquals("close", answer.header("Connection"));
+    void requestsGetTheirStatus(String requestLine, int status) throws Exception {
+        try (Server discovery = discovery(); Node node = new Node(environmentWithAdmin(discovery))) {
+            Message response = node.call(requestLine);
+            assertEquals(status, response.status());
+            assertEquals("close", response.header("Connection"));
         }
     }
 
     /** Guards against requests that wait for the end of the start, or for the event loop of the clients. */
     @Test
-    void callsAreAnsweredBeforeTheStartAndWhileTheGatewayIsBusy() throws Exception {
+    void requestsAreAnsweredBeforeTheStartAndWhileTheGatewayIsBusy() throws Exception {
         try (Server discovery = discovery()) {
             EventLoop loop = Main.loop();
-            Lifecycle life = new Lifecycle();
-            Config config = Config.read(called(discovery));
-            AdminServer admin = AdminServer.start(config.adminAddress(), loop, life, config.newMetrics());
+            Lifecycle lifecycle = new Lifecycle();
+            Config config = Config.read(environmentWithAdmin(discovery));
+            AdminServer admin = AdminServer.start(config.adminAddress(), loop, lifecycle, config.newMetrics());
             try (Socket early = new Socket(admin.address().getAddress(), admin.address().getPort())) {
                 write(early, "GET /status HTTP/1.1\r\nHost: s\r\n\r\n");
                 assertEquals(503, Loopback.read(early).status());
             } finally {
                 loop.parent().shutdownGracefully(0, 0, TimeUnit.SECONDS).syncUninterruptibly();
             }
-            CountDownLatch busy = new CountDownLatch(1);
-            try (Node node = new Node(called(discovery))) {
+            CountDownLatch endOfBusyTask = new CountDownLatch(1);
+            try (Node node = new Node(environmentWithAdmin(discovery))) {
                 node.loop.execute(() -> {
                     try {
-                        busy.await();
+                        endOfBusyTask.await();
                     } catch (InterruptedException e) {
                         Thread.currentThread().interrupt();
                     }
                 });
                 assertEquals(200, node.call("GET /status").status());
-                assertEquals("0", figure(node, "in_flight"));
-                busy.countDown();
+                assertEquals("0", metric(node, "in_flight"));
+                endOfBusyTask.countDown();
             }
         }
     }
@@ -109,8 +109,8 @@
     /** Guards against callers that send nothing or half a request: each is closed, and a flood of them blocks no valid
         request. */
     @Test
-    void silentCallersAreClosedAndDoNotKeepOthersOut() throws Exception {
-        try (Server discovery = discovery(); Node node = new Node(called(discovery))) {
+    void silentCallersAreClosedAndBlockNoOthers() throws Exception {
+        try (Server discovery = discovery(); Node node = new Node(environmentWithAdmin(discovery))) {
             List<Socket> silent = new ArrayList<>();
             for (int i = 0; i < 3 * AdminServer.MAX_CONNECTIONS; i++) {
                 Socket caller = new Socket(node.admin.address().getAddress(), node.admin.address().getPort());
@@ -127,17 +127,18 @@
     }
 
     @Test
-    void figuresTellWhatClientsAndHostsSaw() throws Exception {
-        try (Server discovery = discovery(); Server one = host("one"); Node node = new Node(called(discovery, one))) {
-            assertEquals("0", figure(node, "requests_total{class=\"once\",outcome=\"failed\"}"));
-            assertEquals("0", figure(node, "attempts_total"));
-            assertEquals("1", figure(node, "hosts_known"));
+    void metricsCountRequestsAndAttempts() throws Exception {
+        try (Server discovery = discovery(); Server one = host("one");
+                Node node = new Node(environmentWithAdmin(discovery, one))) {
+            assertEquals("0", metric(node, "requests_total{class=\"once\",outcome=\"failed\"}"));
+            assertEquals("0", metric(node, "attempts_total"));
+            assertEquals("1", metric(node, "hosts_known"));
             assertEquals(200, node.ask(read(20_000)).status());
             assertEquals(200, node.ask(post("once", 20_000, "body")).status());
-            awaitFigure(node, "requests_total{class=\"read\",outcome=\"served\"}", "1");
-            awaitFigure(node, "requests_total{class=\"once\",outcome=\"served\"}", "1");
-            awaitFigure(node, "attempts_total", "2");
-            awaitFigure(node, "in_flight", "0");
+            awaitMetric(node, "requests_total{class=\"read\",outcome=\"served\"}", "1");
+            awaitMetric(node, "requests_total{class=\"once\",outcome=\"served\"}", "1");
+            awaitMetric(node, "attempts_total", "2");
+            awaitMetric(node, "in_flight", "0");
         }
     }
 
@@ -145,40 +146,42 @@
     @Test
     void refusedAndOpenRequestsAreCounted() throws Exception {
         try (Server discovery = discovery(); Server silent = new Server(message -> { });
-                Node node = new Node(called(discovery, silent))) {
+                Node node = new Node(environmentWithAdmin(discovery, silent))) {
             Socket open = node.connect();
             write(open, read(60_000));
             await(silent.received);
-            awaitFigure(node, "in_flight", "1");
+            awaitMetric(node, "in_flight", "1");
             assertEquals(504, node.ask(read(1).replace("9b1f", "9b20")).status());
-            awaitFigure(node, "requests_total{class=\"read\",outcome=\"failed\"}", "1");
+            awaitMetric(node, "requests_total{class=\"read\",outcome=\"failed\"}", "1");
             open.close();
-            awaitFigure(node, "in_flight", "0");
-            assertEquals("0", figure(node, "requests_total{class=\"read\",outcome=\"served\"}"));
+            awaitMetric(node, "in_flight", "0");
+            assertEquals("0", metric(node, "requests_total{class=\"read\",outcome=\"served\"}"));
         }
-        try (Server discovery = discovery(); Node node = new Node(called(discovery))) {
+        try (Server discovery = discovery(); Node node = new Node(environmentWithAdmin(discovery))) {
             assertEquals(503, node.ask(read(20_000)).status());
-            awaitFigure(node, "requests_total{class=\"read\",outcome=\"refused\"}", "1");
+            awaitMetric(node, "requests_total{class=\"read\",outcome=\"refused\"}", "1");
         }
     }
 
     @Test
-    void listedHostsThatGetNothingAreExcluded() throws Exception {
-        try (Server discovery = discovery(); Server one = host("one"); Node node = new Node(called(discovery, one))) {
-            awaitFigure(node, "hosts_excluded", "0");
+    void drainingHostsCountAsExcluded() throws Exception {
+        try (Server discovery = discovery(); Server one = host("one");
+                Node node = new Node(environmentWithAdmin(discovery, one))) {
+            awaitMetric(node, "hosts_excluded", "0");
             Message watch = await(discovery.received);
             Loopback.tell(watch.socket(), list(2, false, entry("s0", one.address(), "a", "terminating"),
                     entry("s1", one.address(), "a", "in_service")));
-            awaitFigure(node, "hosts_known", "2");
-            awaitFigure(node, "hosts_excluded", "1");
+            awaitMetric(node, "hosts_known", "2");
+            awaitMetric(node, "hosts_excluded", "1");
         }
     }
 
     /** Guards against a drain that loses requests or keeps clients: a response tells the client to close, idle
         connections are closed, and the gateway becomes active again without a restart. */
     @Test
-    void aDrainedGatewayServesOpenConnectionsUntilTheyAreClosedAndComesBack() throws Exception {
-        try (Server discovery = discovery(); Server one = host("one"); Node node = new Node(called(discovery, one))) {
+    void standbyServesOpenConnectionsUntilClosedAndCanEnd() throws Exception {
+        try (Server discovery = discovery(); Server one = host("one");
+                Node node = new Node(environmentWithAdmin(discovery, one))) {
             Socket used = node.connect();
             Socket idle = node.connect();
             write(idle, read(20_000).replace("9b1f", "9b20"));
@@ -210,31 +213,31 @@
 
     /** Guards against a standby request during the start that is lost, and against a request that undoes a stop. */
     @Test
-    void aStandbyDuringTheStartHoldsAndNothingComesBackFromAStop() {
-        Lifecycle life = new Lifecycle();
-        assertEquals(Lifecycle.State.STARTING, life.state());
-        assertTrue(life.setStandby(true));
-        assertEquals(Lifecycle.State.STARTING, life.state());
-        List<Lifecycle.State> heard = new ArrayList<>();
-        life.markStarted(() -> heard.add(life.state()));
-        assertTrue(life.setStandby(false));
-        life.stop();
-        assertTrue(life.setStandby(true));
-        assertEquals(false, life.setStandby(false));
-        assertEquals(Lifecycle.State.STOPPING, life.state());
-        assertEquals(List.of(Lifecycle.State.STANDBY, Lifecycle.State.ACTIVE), heard);
+    void standbyDuringTheStartHoldsAndAStopIsFinal() {
+        Lifecycle lifecycle = new Lifecycle();
+        assertEquals(Lifecycle.State.STARTING, lifecycle.state());
+        assertTrue(lifecycle.setStandby(true));
+        assertEquals(Lifecycle.State.STARTING, lifecycle.state());
+        List<Lifecycle.State> states = new ArrayList<>();
+        lifecycle.markStarted(() -> states.add(lifecycle.state()));
+        assertTrue(lifecycle.setStandby(false));
+        lifecycle.stop();
+        assertTrue(lifecycle.setStandby(true));
+        assertEquals(false, lifecycle.setStandby(false));
+        assertEquals(Lifecycle.State.STOPPING, lifecycle.state());
+        assertEquals(List.of(Lifecycle.State.STANDBY, Lifecycle.State.ACTIVE), states);
     }
 
     @Test
-    void anAddressThatIsTakenEndsTheStartWithOneMessage() throws Exception {
-        try (Server discovery = discovery(); ServerSocket taken = new ServerSocket(0, 1,
+    void addressInUseEndsTheStartWithOneMessage() throws Exception {
+        try (Server discovery = discovery(); ServerSocket occupant = new ServerSocket(0, 1,
                 InetAddress.getByName("127.0.0.1"))) {
-            InetSocketAddress at = (InetSocketAddress) taken.getLocalSocketAddress();
-            Config config = Config.read(called(discovery));
+            InetSocketAddress address = (InetSocketAddress) occupant.getLocalSocketAddress();
+            Config config = Config.read(environmentWithAdmin(discovery));
             EventLoop loop = Main.loop();
             try {
                 IllegalArgumentException fault = assertThrows(IllegalArgumentException.class,
-                        () -> AdminServer.start(at, loop, new Lifecycle(), config.newMetrics()));
+                        () -> AdminServer.start(address, loop, new Lifecycle(), config.newMetrics()));
                 assertTrue(fault.getMessage().startsWith("no listening for operators on"), fault.getMessage());
             } finally {
                 loop.parent().shutdownGracefully(0, 0, TimeUnit.SECONDS).syncUninterruptibly();
--- a/src/test/java/mastdrift/net/ConfigReloaderTest.java
+++ b/src/test/java/mastdrift/net/ConfigReloaderTest.java
@@ -18,23 +18,23 @@
     private static final InetSocketAddress OLDER = new InetSocketAddress(1);
     private static final InetSocketAddress NEWER = new InetSocketAddress(2);
 
-    private final List<InetSocketAddress> taken = new ArrayList<>();
-    private final List<String> failed = new ArrayList<>();
+    private final List<InetSocketAddress> applied = new ArrayList<>();
+    private final List<String> failures = new ArrayList<>();
 
     /** Guards against an old configuration that replaces a newer one: the handler of the first signal has read the file
         and is delayed before it applies the result; the second signal arrives meanwhile. */
     @Test
-    void theNewestConfigurationHoldsWhateverOrderHandlersRunIn() throws Exception {
-        Queue<InetSocketAddress> file = new ArrayDeque<>(List.of(OLDER, NEWER));
+    void newestConfigurationWinsInAnyOrderOfHandlers() throws Exception {
+        Queue<InetSocketAddress> fileContents = new ArrayDeque<>(List.of(OLDER, NEWER));
         CountDownLatch firstHasRead = new CountDownLatch(1);
-        CountDownLatch secondIsThere = new CountDownLatch(1);
-        ConfigReloader reloader = new ConfigReloader(file::remove, read -> {
+        CountDownLatch secondHasArrived = new CountDownLatch(1);
+        ConfigReloader reloader = new ConfigReloader(fileContents::remove, read -> {
             if (read == OLDER) {
                 firstHasRead.countDown();
-                await(secondIsThere);
+                await(secondHasArrived);
             }
-            taken.add(read);
-        }, failed::add);
+            applied.add(read);
+        }, failures::add);
         Thread first = new Thread(reloader::signalReceived);
         first.start();
         await(firstHasRead);
@@ -43,10 +43,10 @@
         while (second.getState() != Thread.State.BLOCKED && second.isAlive()) {
             Thread.onSpinWait();
         }
-        secondIsThere.countDown();
+        secondHasArrived.countDown();
         first.join();
         second.join();
-        assertEquals(List.of(OLDER, NEWER), taken);
+        assertEquals(List.of(OLDER, NEWER), applied);
     }
 
     private static void await(CountDownLatch latch) {
@@ -59,7 +59,7 @@
         }
     }
 
-    private static Supplier<InetSocketAddress> failing(int times) {
+    private static Supplier<InetSocketAddress> readerFailing(int times) {
         int[] reads = {0};
         return () -> {
             if (++reads[0] <= times) {
@@ -70,16 +70,16 @@
     }
 
     @Test
-    void aFileThatCannotBeReadForAMomentIsReadAgain() {
-        new ConfigReloader(failing(3), taken::add, failed::add, millis -> { }).signalReceived();
-        assertEquals(List.of(NEWER), taken);
-        assertEquals(List.of(), failed);
+    void fileThatFailsTemporarilyIsReadAgain() {
+        new ConfigReloader(readerFailing(3), applied::add, failures::add, millis -> { }).signalReceived();
+        assertEquals(List.of(NEWER), applied);
+        assertEquals(List.of(), failures);
     }
 
     @Test
-    void aFileThatStaysUnreadableIsToldOnceAndChangesNothing() {
-        new ConfigReloader(failing(Integer.MAX_VALUE), taken::add, failed::add, millis -> { }).signalReceived();
-        assertEquals(List.of(), taken);
-        assertEquals(List.of("too many open files"), failed);
+    void unreadableFileIsReportedOnceAndChangesNothing() {
+        new ConfigReloader(readerFailing(Integer.MAX_VALUE), applied::add, failures::add, millis -> { }).signalReceived();
+        assertEquals(List.of(), applied);
+        assertEquals(List.of("too many open files"), failures);
     }
 }
--- a/src/test/java/mastdrift/net/ConnectorTest.java
+++ b/src/test/java/mastdrift/net/ConnectorTest.java
@@ -23,32 +23,33 @@
 /** Tests that results of connecting are reported on the event loop, and which failures count as local. */
 class ConnectorTest {
 
-    private record Told(Throwable cause, boolean onLoop) { }
+    private record Result(Throwable cause, boolean onLoop) { }
 
-    private static Told dial(io.netty.channel.ChannelFactory<Channel> channels, InetSocketAddress at) throws Exception {
+    private static Result connect(io.netty.channel.ChannelFactory<Channel> channelFactory, InetSocketAddress address)
+            throws Exception {
         EventLoop loop = Main.loop();
         try {
-            Bootstrap bootstrap = new Bootstrap().group(loop).channelFactory(channels)
+            Bootstrap bootstrap = new Bootstrap().group(loop).channelFactory(channelFactory)
                     .handler(new ChannelInboundHandlerAdapter());
-            CompletableFuture<Told> told = new CompletableFuture<>();
+            CompletableFuture<Result> result = new CompletableFuture<>();
             loop.execute(() -> {
-                Channel dialled = Connector.connect(bootstrap, loop, at, new Connector.ConnectListener() {
+                Channel connecting = Connector.connect(bootstrap, loop, address, new Connector.ConnectListener() {
                     @Override
                     public void connected(Channel channel) {
-                        told.complete(new Told(null, loop.inEventLoop()));
+                        result.complete(new Result(null, loop.inEventLoop()));
                     }
 
                     @Override
                     public void failed(Throwable cause) {
-                        told.complete(new Told(cause, loop.inEventLoop()));
+                        result.complete(new Result(cause, loop.inEventLoop()));
                     }
                 });
-                assertFalse(told.isDone(), "reported before connect returned");
-                if (!dialled.isOpen()) {
-                    Connector.close(dialled);
+                assertFalse(result.isDone(), "reported before connect returned");
+                if (!connecting.isOpen()) {
+                    Connector.close(connecting);
                 }
             });
-            return told.get(Loopback.WAIT_SECONDS, TimeUnit.SECONDS);
+            return result.get(Loopback.WAIT_SECONDS, TimeUnit.SECONDS);
         } finally {
             loop.parent().shutdownGracefully(0, 0, TimeUnit.SECONDS);
         }
@@ -56,28 +57,28 @@
 
     /** The channel can't be created, as when the process has no descriptor left. */
     @Test
-    void thatNoSocketCanBeMadeIsToldOnTheEventLoop() throws Exception {
-        Told told = dial(() -> {
+    void failureToCreateASocketIsReportedOnTheEventLoop() throws Exception {
+        Result result = connect(() -> {
             throw new ChannelException("no descriptor left");
         }, new InetSocketAddress(InetAddress.getLoopbackAddress(), 1));
-        assertTrue(told.onLoop);
-        assertTrue(Connector.isLocalFailure(told.cause), told.cause.toString());
+        assertTrue(result.onLoop);
+        assertTrue(Connector.isLocalFailure(result.cause), result.cause.toString());
     }
 
     @Test
-    void aConnectionAndARefusalAreToldOnTheEventLoop() throws Exception {
+    void connectionAndRefusalAreReportedOnTheEventLoop() throws Exception {
         ServerSocket server = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"));
-        InetSocketAddress at = new InetSocketAddress(server.getInetAddress(), server.getLocalPort());
-        Told up = dial(NioSocketChannel::new, at);
-        assertTrue(up.onLoop && up.cause == null);
+        InetSocketAddress address = new InetSocketAddress(server.getInetAddress(), server.getLocalPort());
+        Result connected = connect(NioSocketChannel::new, address);
+        assertTrue(connected.onLoop && connected.cause == null);
         server.close();
-        Told refused = dial(NioSocketChannel::new, at);
+        Result refused = connect(NioSocketChannel::new, address);
         assertTrue(refused.onLoop);
         assertFalse(Connector.isLocalFailure(refused.cause), refused.cause.toString());
     }
 
     @Test
-    void onlyWhatThisMachineLacksIsLocal() {
+    void onlyFailuresOfThisMachineAreLocal() {
         assertTrue(Connector.isLocalFailure(new BindException("Cannot assign requested address")));
         assertTrue(Connector.isLocalFailure(new SocketException("Network is unreachable")));
         assertTrue(Connector.isLocalFailure(new ChannelException("Failed to open a socket.")));
--- a/src/test/java/mastdrift/net/GatewayLifecycleTest.java
+++ b/src/test/java/mastdrift/net/GatewayLifecycleTest.java
@@ -52,39 +52,39 @@
 /** Tests a gateway's start, its host lists from discovery, its limits, its reloads and its stop. */
 class GatewayLifecycleTest {
 
-    private static final int LIFE_SECONDS = 60;
+    private static final int PROCESS_TIMEOUT_SECONDS = 60;
 
     @TempDir
     private Path folder;
 
-    private static String up(String uid, Server host) {
-        return entry(uid, host.address(), "a", "in_service");
+    private static String inService(String hostId, Server host) {
+        return entry(hostId, host.address(), "a", "in_service");
     }
 
     /** Sends requests until a response has that body, which names the host. */
     private static void awaitBody(Node node, String body) throws IOException {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(Loopback.WAIT_SECONDS);
+        long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(Loopback.WAIT_SECONDS);
         Socket client = node.connect();
-        for (String got = ""; !got.equals(body); got = Loopback.read(client).text()) {
+        for (String received = ""; !received.equals(body); received = Loopback.read(client).text()) {
             write(client, read(20_000));
-            assertTrue(System.nanoTime() < until, "no answer from " + body);
+            assertTrue(System.nanoTime() < deadline, "no answer from " + body);
         }
     }
 
     /** Guards against a new process that serves clients by an outdated host list before the first list from discovery:
         where lists are pushed, the gateway has to obey them from its start on. */
     @Test
-    void aNewProcessHearsOfADrainBeforeItsFirstClient() throws Exception {
+    void newProcessObeysADrainBeforeItsFirstClient() throws Exception {
         try (Server one = host("one"); Server two = host("two"); Server discovery = new Server(message -> {
             write(message.socket(), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         })) {
-            Map<String, String> environment = environment(folder, discovery, list(1, true, up("s1", one)),
+            Map<String, String> environment = environment(folder, discovery, list(1, true, inService("s1", one)),
                     SETTINGS.replace("on_request", "pushed"));
-            CompletableFuture<Node> starts = CompletableFuture.supplyAsync(() -> new Node(environment));
+            CompletableFuture<Node> starting = CompletableFuture.supplyAsync(() -> new Node(environment));
             Socket watch = await(discovery.received).socket();
-            assertThrows(TimeoutException.class, () -> starts.get(300, TimeUnit.MILLISECONDS));
-            tell(watch, list(2, false, entry("s1", one.address(), "a", "terminating"), up("s2", two)));
-            try (Node node = starts.get(LIFE_SECONDS, TimeUnit.SECONDS)) {
+            assertThrows(TimeoutException.class, () -> starting.get(300, TimeUnit.MILLISECONDS));
+            tell(watch, list(2, false, entry("s1", one.address(), "a", "terminating"), inService("s2", two)));
+            try (Node node = starting.get(PROCESS_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
                 assertEquals("two", node.ask(read(20_000)).text());
             }
         }
@@ -94,11 +94,11 @@
         list is detected by the empty line after it, and requested again. */
     @ParameterizedTest
     @ValueSource(ints = {1, 7, 1_000_000})
-    void aWatchMayComeIndentedAndInPieces(int piece) throws Exception {
+    void indentedListInPiecesIsRead(int piece) throws Exception {
         try (Server discovery = discovery(); Server one = host("one"); Server two = host("two");
-                Node node = new Node(environment(folder, discovery, list(1, true, up("s1", one)), SETTINGS))) {
+                Node node = new Node(environment(folder, discovery, list(1, true, inService("s1", one)), SETTINGS))) {
             Message watch = await(discovery.received);
-            String indented = list(7, false, entry("s1", one.address(), "a", "terminating"), up("s}\\\"{2", two))
+            String indented = list(7, false, entry("s1", one.address(), "a", "terminating"), inService("s}\\\"{2", two))
                     .replace("{", "{\n  ").replace("},", "},\r\n  ").replace("]", "\n ]").replace("s}\\\"{\n  2", "s}\\\"{2");
             String lines = "\n" + indented + "\n\n" + list(8, false) + "\n";
             synchronized (watch.socket()) {  // after the head of the response
@@ -118,21 +118,21 @@
         again from the last revision received. */
     @ParameterizedTest
     @ValueSource(strings = {"end", "odd", "silence"})
-    void aWatchThatBreaksIsResumed(String how) throws Exception {
+    void failedWatchIsResumed(String failure) throws Exception {
         try (Server discovery = discovery(); Server one = host("one"); Server two = host("two");
-                Node node = new Node(environment(folder, discovery, list(1, true, up("s1", one)), SETTINGS))) {
+                Node node = new Node(environment(folder, discovery, list(1, true, inService("s1", one)), SETTINGS))) {
             Message first = await(discovery.received);
             assertEquals("GET /v1/endpoints?watch=1&from=1 HTTP/1.1", first.line());
-            tell(first.socket(), list(7, false, entry("s1", one.address(), "a", "terminating"), up("s2", two)));
+            tell(first.socket(), list(7, false, entry("s1", one.address(), "a", "terminating"), inService("s2", two)));
             awaitBody(node, "two");
-            if (how.equals("end")) {
+            if (failure.equals("end")) {
                 first.socket().close();
-            } else if (how.equals("odd")) {
+            } else if (failure.equals("odd")) {
                 tell(first.socket(), "{\"rev\":8,\"all\":false,\"targets\":[{\"uid\":3}]}");
             }
             Message next = await(discovery.received);
             assertEquals("GET /v1/endpoints?watch=1&from=7 HTTP/1.1", next.line());
-            tell(next.socket(), list(9, true, up("s1", one)));
+            tell(next.socket(), list(9, true, inService("s1", one)));
             awaitBody(node, "one");
         }
     }
@@ -141,16 +141,16 @@
         from its start. */
     @ParameterizedTest
     @ValueSource(strings = {"GET", "{\"rev\":2,"})
-    void aCallThatTricklesEndsAllTheSame(String first) throws Exception {
+    void tricklingWatchTimesOut(String first) throws Exception {
         try (Server one = host("one"); Server discovery = new Server(message -> {
             write(message.socket(), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-            String begun = first.equals("GET") ? "" : Integer.toHexString(first.length()) + "\r\n" + first + "\r\n";
-            write(message.socket(), begun);
+            String firstChunk = first.equals("GET") ? "" : Integer.toHexString(first.length()) + "\r\n" + first + "\r\n";
+            write(message.socket(), firstChunk);
             while (true) {  // until the connection or the test ends
                 Thread.sleep(100);
                 write(message.socket(), "1\r\n \r\n");
             }
-        }); Node node = new Node(environment(folder, discovery, list(1, true, up("s1", one)), SETTINGS))) {
+        }); Node node = new Node(environment(folder, discovery, list(1, true, inService("s1", one)), SETTINGS))) {
             await(discovery.received);
             assertEquals("GET /v1/endpoints?watch=1&from=1 HTTP/1.1", await(discovery.received).line());
         }
@@ -159,15 +159,15 @@
     /** Guards against a drained host that gets requests again through a complete list of an older revision that arrives
         late. */
     @Test
-    void aListOfAnOlderVersionTakesNothingBack() throws Exception {
+    void listOfAnOlderRevisionIsIgnored() throws Exception {
         try (Server discovery = discovery(); Server one = host("one"); Server two = host("two");
-                Node node = new Node(environment(folder, discovery, list(1, true, up("s1", one)), SETTINGS))) {
+                Node node = new Node(environment(folder, discovery, list(1, true, inService("s1", one)), SETTINGS))) {
             Message first = await(discovery.received);
-            tell(first.socket(), list(7, false, entry("s1", one.address(), "a", "terminating"), up("s2", two)));
+            tell(first.socket(), list(7, false, entry("s1", one.address(), "a", "terminating"), inService("s2", two)));
             awaitBody(node, "two");
             first.socket().close();
             Message next = await(discovery.received);
-            tell(next.socket(), list(6, true, up("s1", one)));
+            tell(next.socket(), list(6, true, inService("s1", one)));
             tell(next.socket(), "{\"rev\":8,");  // an incomplete list
             tell(next.socket(), "");
             assertEquals("GET /v1/endpoints?watch=1&from=7 HTTP/1.1", await(discovery.received).line());
@@ -180,14 +180,15 @@
     /** Guards against a gateway that gets no host list and serves nobody once idle clients have used up its descriptors
         while discovery was down: descriptors for discovery, hosts and the log are reserved. */
     @Test
-    void idleClientsThatFillTheDescriptorsKeepNoListFromComing() throws Exception {
-        CountDownLatch back = new CountDownLatch(1);
+    void idleClientsThatUseUpTheDescriptorsBlockNoHostList() throws Exception {
+        CountDownLatch discoveryIsBack = new CountDownLatch(1);
         try (Server one = host("one"); Server two = host("two"); Server discovery = new Server(message -> {
-            back.await();
+            discoveryIsBack.await();
             write(message.socket(), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-            tell(message.socket(), list(2, false, entry("s1", one.address(), "a", "terminating"), up("s2", two)));
+            tell(message.socket(), list(2, false, entry("s1", one.address(), "a", "terminating"),
+                    inService("s2", two)));
         })) {
-            Map<String, String> environment = environment(folder, discovery, list(1, true, up("s1", one)),
+            Map<String, String> environment = environment(folder, discovery, list(1, true, inService("s1", one)),
                     SETTINGS.replace("on_request", "pushed"));
             Path file = Path.of(environment.get("NODE_CONFIG"));
             Files.writeString(file, Files.readString(file).replace("\"sockets\":64", "\"sockets\":128"));
@@ -199,10 +200,10 @@
                 for (int i = 0; i < 300; i++) {
                     idle.add(new Socket("127.0.0.1", port));
                 }
-                assertEquals("one", ask(port).text());
-                back.countDown();
+                assertEquals("one", sendRequest(port).text());
+                discoveryIsBack.countDown();
                 awaitLog("list 2: 2 changes");
-                assertEquals("two", ask(port).text());
+                assertEquals("two", sendRequest(port).text());
                 assertFalse(log().contains("fault"), log());
             } finally {
                 process.destroyForcibly();
@@ -213,7 +214,7 @@
         }
     }
 
-    private static Message ask(int port) throws IOException {
+    private static Message sendRequest(int port) throws IOException {
         try (Socket client = new Socket("127.0.0.1", port)) {
             client.setSoTimeout(Loopback.WAIT_SECONDS * 1000);
             write(client, read(20_000));
@@ -224,9 +225,9 @@
     /** Guards against memory limits that are too small for 1,024 hosts and as many gateways, with the flags of the
         deploy file's {@code run}. */
     @Test
-    void aThousandHostsAndGatewaysFitIntoTheProgramsMemory() throws Exception {
+    void thousandHostsAndGatewaysFitIntoTheProgramsMemory() throws Exception {
         try (Server discovery = discovery(); Server one = host("one")) {
-            String[] entries = IntStream.range(0, 1024).mapToObj(i -> up("s" + i, one)).toArray(String[]::new);
+            String[] entries = IntStream.range(0, 1024).mapToObj(i -> inService("s" + i, one)).toArray(String[]::new);
             Map<String, String> environment = environment(folder, discovery, list(1, true, entries),
                     SETTINGS.replace("on_request", "pushed").replace("\"balancers\":1,", "\"balancers\":1024,"));
             Path file = Path.of(environment.get("NODE_CONFIG"));
@@ -257,11 +258,11 @@
 
     /** Guards against a gateway that serves nobody while discovery is down: it uses the hosts of its configuration. */
     @Test
-    void withoutDiscoveryTheKnownListServes() throws Exception {
+    void configuredHostsServeWithoutDiscovery() throws Exception {
         Server discovery = discovery();
         discovery.close();
         try (Server one = host("one");
-                Node node = new Node(environment(folder, discovery, list(1, true, up("s1", one)), SETTINGS))) {
+                Node node = new Node(environment(folder, discovery, list(1, true, inService("s1", one)), SETTINGS))) {
             assertEquals("one", node.ask(read(20_000)).text());
         }
     }
@@ -270,31 +271,31 @@
         them may have a request open, beside as many connections to hosts and the program's own files. */
     @ParameterizedTest
     @ValueSource(ints = {256, 384, 1024})
-    void clientsMayHoldAThirdOfTheDescriptorsForRequests(int sockets) {
-        int most = Main.connectionsMost(sockets);
-        assertTrue(Main.openMost(most) >= sockets / 3, "requests " + Main.openMost(most));
-        assertTrue(2 * most + 40 <= sockets, "connections " + most);
+    void clientsMayUseAThirdOfTheDescriptors(int sockets) {
+        int maxConnections = Main.connectionsMost(sockets);
+        assertTrue(Main.openMost(maxConnections) >= sockets / 3, "requests " + Main.openMost(maxConnections));
+        assertTrue(2 * maxConnections + 40 <= sockets, "connections " + maxConnections);
     }
 
     @Test
-    void idleClientsMakeRoomAtTheBound() throws Exception {
+    void idleClientsAreEvictedAtTheBound() throws Exception {
         try (Server discovery = discovery(); Server one = host("one");
-                Node node = new Node(environment(folder, discovery, list(1, true, up("s1", one)), SETTINGS))) {
-            Socket eldest = node.connect();
-            write(eldest, read(20_000));
-            assertEquals(200, Loopback.read(eldest).status());
+                Node node = new Node(environment(folder, discovery, list(1, true, inService("s1", one)), SETTINGS))) {
+            Socket oldest = node.connect();
+            write(oldest, read(20_000));
+            assertEquals(200, Loopback.read(oldest).status());
             for (int i = 0; i < 8; i++) {  // 64 descriptors leave 8 to clients
                 assertEquals(200, node.ask(read(20_000)).status());
             }
-            assertNull(Loopback.read(eldest));
+            assertNull(Loopback.read(oldest));
         }
     }
 
     /** Guards against a flood of connections without a request that evicts those in use. */
     @Test
-    void silentConnectionsMakeRoomFirst() throws Exception {
+    void connectionsWithoutARequestAreEvictedFirst() throws Exception {
         try (Server discovery = discovery(); Server one = host("one");
-                Node node = new Node(environment(folder, discovery, list(1, true, up("s1", one)), SETTINGS))) {
+                Node node = new Node(environment(folder, discovery, list(1, true, inService("s1", one)), SETTINGS))) {
             Socket used = node.connect();
             write(used, read(20_000));
             assertEquals(200, Loopback.read(used).status());
@@ -309,22 +310,22 @@
     }
 
     @Test
-    void beyondTheMostOpenRequestsOneIsRefused() throws Exception {
+    void requestBeyondTheBoundIsRefused() throws Exception {
         try (Server discovery = discovery(); Server silent = new Server(message -> { });
-                Node node = new Node(environment(folder, discovery, list(1, true, up("s1", silent)),
+                Node node = new Node(environment(folder, discovery, list(1, true, inService("s1", silent)),
                         SETTINGS.replace("\"max_open\":20000", "\"max_open\":1")))) {
             write(node.connect(), read(60_000));
             await(silent.received);
-            Message answer = node.ask(read(60_000).replace("9b1f", "9b20"));
-            assertEquals(503, answer.status());
-            assertEquals("2", answer.header("Retry-After"));
+            Message response = node.ask(read(60_000).replace("9b1f", "9b20"));
+            assertEquals(503, response.status());
+            assertEquals("2", response.header("Retry-After"));
         }
     }
 
     /** Guards against requests that are lost at a planned restart: open ones are answered, and so are those that still
         arrive. */
     @Test
-    void aStopFinishesWhatWasTaken() throws Exception {
+    void stopAnswersAcceptedRequests() throws Exception {
         CountDownLatch stopped = new CountDownLatch(1);
         try (Server discovery = discovery();
                 Server host = new Server(message -> {
@@ -332,14 +333,14 @@
                         write(message.socket(), answer("200 OK", "one"));
                     }
                 });
-                Node node = new Node(environment(folder, discovery, list(1, true, up("s1", host)), SETTINGS))) {
+                Node node = new Node(environment(folder, discovery, list(1, true, inService("s1", host)), SETTINGS))) {
             Socket idle = node.connect();
             write(idle, "GET /ready HTTP/1.1\r\n\r\n");
             assertEquals(200, Loopback.read(idle).status());
-            Socket taken = node.connect();
-            write(taken, read(60_000));
-            Message held = await(host.received);
-            Socket coming = node.connect();
+            Socket open = node.connect();
+            write(open, read(60_000));
+            Message openRequest = await(host.received);
+            Socket unused = node.connect();
             node.loop.submit(() -> {
                 node.clients.stop(stopped::countDown);
                 write(idle, post("once", 20_000, "x").replace("9b1f", "9b20"));
@@ -347,11 +348,11 @@
             }).sync();
             assertEquals("one", Loopback.read(idle).text());  // clients may have no other gateway at the moment
             assertNull(Loopback.read(idle));
-            assertNull(Loopback.read(coming));
-            write(held.socket(), answer("200 OK", "in time"));
-            Message answer = Loopback.read(taken);
-            assertEquals("in time", answer.text());
-            assertEquals("close", answer.header("Connection"));
+            assertNull(Loopback.read(unused));
+            write(openRequest.socket(), answer("200 OK", "in time"));
+            Message response = Loopback.read(open);
+            assertEquals("in time", response.text());
+            assertEquals("close", response.header("Connection"));
             assertTrue(stopped.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS));
         }
     }
@@ -360,7 +361,7 @@
         client connections would be closed at 1.5 s. Deadlines are in microseconds. */
     @ParameterizedTest
     @ValueSource(longs = {200_000, 670_000, 2_000_000, 3_000_000, 60_000_000})
-    void aStopTakesNothingMoreAndHasAnsweredAllBeforeTheKill(long deadline) {
+    void stopHasAnsweredAllRequestsBeforeTheKill(long deadline) {
         long kill = Math.min(deadline, 3_000_000) + 700_000;
         assertTrue(ClientSide.stopServing(deadline) < ClientSide.stopAnswered(deadline));
         assertTrue(ClientSide.stopAnswered(deadline) <= kill - 300_000);
@@ -372,11 +373,11 @@
 
     /** Starts the program through the command {@code before}, which runs its arguments, with {@code flags} of the
         virtual machine. */
-    private Process start(Map<String, String> environment, List<String> before, List<String> flags, String... arguments)
+    private Process start(Map<String, String> environment, List<String> wrapperCommand, List<String> flags, String... arguments)
             throws IOException {
         // Resets SIGHUP to its default: the program would inherit it as ignored if this suite runs that way.
         ProcessBuilder builder = new ProcessBuilder("env", "--default-signal=HUP");
-        builder.command().addAll(before);
+        builder.command().addAll(wrapperCommand);
         builder.command().add(System.getProperty("java.home") + "/bin/java");
         builder.command().addAll(flags);
         builder.command().addAll(List.of("-cp", System.getProperty("java.class.path"), "mastdrift.net.Main"));
@@ -394,11 +395,12 @@
         that contacts real hosts or discovery. */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void aRehearsalPlaysThroughAndReachesNobody(boolean longToo) throws Exception {
+    void warmUpCompletesAndContactsNobody(boolean longBodies) throws Exception {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         try (Server discovery = discovery(); Server one = host("one")) {
-            Config config = Config.read(environment(folder, discovery, list(1, true, up("s1", one)), SETTINGS));
-            WarmUp.run(config, null, longToo, Main.loop(), new PrintStream(out, true, StandardCharsets.UTF_8)::println);
+            Config config = Config.read(environment(folder, discovery, list(1, true, inService("s1", one)), SETTINGS));
+            WarmUp.run(config, null, longBodies, Main.loop(),
+                    new PrintStream(out, true, StandardCharsets.UTF_8)::println);
             assertEquals("", out.toString(StandardCharsets.UTF_8));
             assertTrue(one.accepted.isEmpty() && discovery.accepted.isEmpty());
         }
@@ -408,7 +410,7 @@
         warm-up runs with the configuration it is given, and {@code run} maps the class archive that the build
         creates. */
     @Test
-    void theBuildsRehearsalEndsAndItsArchiveIsTheOneInUse() throws Exception {
+    void buildWarmUpEndsAndItsArchiveIsInUse() throws Exception {
         List<String> deploy = Files.readAllLines(Path.of("deploy/balancer.toml"), StandardCharsets.UTF_8);
         String build = deploy.stream().filter(line -> line.startsWith("build = ")).findFirst().orElseThrow();
         String run = deploy.stream().filter(line -> line.startsWith("run = ")).findFirst().orElseThrow();
@@ -417,7 +419,7 @@
         String file = build.replaceFirst(".*NODE_CONFIG=(\\S+).*", "$1");
         Process process = start(Map.of("NODE_CONFIG", file), "rehearse");
         try {
-            assertTrue(process.waitFor(LIFE_SECONDS, TimeUnit.SECONDS));
+            assertTrue(process.waitFor(PROCESS_TIMEOUT_SECONDS, TimeUnit.SECONDS));
             assertEquals(0, process.exitValue(), log());
             assertEquals("", log());
         } finally {
@@ -428,11 +430,11 @@
     @Test
     void sigtermEndsTheProgramWithStatus0() throws Exception {
         try (Server discovery = discovery(); Server one = host("one")) {
-            Process process = start(environment(folder, discovery, list(1, true, up("s1", one)), SETTINGS));
+            Process process = start(environment(folder, discovery, list(1, true, inService("s1", one)), SETTINGS));
             try {
                 await(discovery.received);  // the program has started
                 process.destroy();
-                assertTrue(process.waitFor(LIFE_SECONDS, TimeUnit.SECONDS));
+                assertTrue(process.waitFor(PROCESS_TIMEOUT_SECONDS, TimeUnit.SECONDS));
                 assertEquals(0, process.exitValue(), log());
                 assertTrue(log().endsWith("stopped\n"), log());
             } finally {
@@ -444,44 +446,46 @@
     /** Guards against clients that are lost at a replacement: the successor accepts new ones; the old process serves
         its open connections, tells clients to close them, and closes idle ones at last. */
     @Test
-    void aSuccessorTakesOverTheListeningSocket() throws Exception {
+    void successorTakesOverTheListeningSocket() throws Exception {
         try (Server discovery = discovery(); Server one = host("one"); Server two = host("two");
-                ServerSocketChannel passed = ServerSocketChannel.open()) {
-            passed.bind(new InetSocketAddress("127.0.0.1", 0));
-            passed.configureBlocking(false);
-            try (Node old = new Node(environment(folder, discovery, list(1, true, up("s1", one)), SETTINGS), passed)) {
+                ServerSocketChannel listeningSocket = ServerSocketChannel.open()) {
+            listeningSocket.bind(new InetSocketAddress("127.0.0.1", 0));
+            listeningSocket.configureBlocking(false);
+            try (Node old = new Node(environment(folder, discovery, list(1, true, inService("s1", one)), SETTINGS),
+                    listeningSocket)) {
                 Socket used = old.connect();
                 Socket idle = old.connect();
                 for (Socket client : List.of(used, idle)) {
                     write(client, read(20_000));
                     assertEquals("one", Loopback.read(client).text());
                 }
-                try (Node next = new Node(environment(folder, discovery, list(1, true, up("s2", two)), SETTINGS),
-                        passed)) {
+                try (Node successor = new Node(
+                        environment(folder, discovery, list(1, true, inService("s2", two)), SETTINGS),
+                        listeningSocket)) {
                     CountDownLatch stopped = new CountDownLatch(1);
                     old.loop.submit(() -> old.clients.stop(stopped::countDown)).sync();
                     for (int i = 0; i < 20; i++) {
-                        assertEquals("two", next.ask(read(20_000)).text());
+                        assertEquals("two", successor.ask(read(20_000)).text());
                     }
                     write(used, read(20_000));
                     Message last = Loopback.read(used);
                     assertEquals("one", last.text());
                     assertEquals("close", last.header("Connection"));
                     assertNull(Loopback.read(idle));
-                    assertTrue(stopped.await(LIFE_SECONDS, TimeUnit.SECONDS));
+                    assertTrue(stopped.await(PROCESS_TIMEOUT_SECONDS, TimeUnit.SECONDS));
                 }
             }
         }
     }
 
     @Test
-    void aPassedSocketThatIsNoneEndsTheStartWithOnePlainLine() throws Exception {
+    void missingInheritedSocketEndsTheStartWithOneLine() throws Exception {
         try (Server discovery = discovery()) {
             Map<String, String> environment = new HashMap<>(environment(folder, discovery, list(1, true), SETTINGS));
             environment.put("NODE_PASSED_SOCKET", "0");
             Process process = start(environment);
             try {
-                assertTrue(process.waitFor(LIFE_SECONDS, TimeUnit.SECONDS));
+                assertTrue(process.waitFor(PROCESS_TIMEOUT_SECONDS, TimeUnit.SECONDS));
                 assertEquals(2, process.exitValue(), log());
                 assertEquals("can't start: descriptor 0 is no listening socket, though NODE_PASSED_SOCKET is set",
                         log().strip());
@@ -491,8 +495,8 @@
         }
     }
 
-    private void signalHup(Process process, String discovery) throws Exception {
-        Files.writeString(folder.resolve("config.json"), discovery);
+    private void writeConfigAndSignalHup(Process process, String config) throws Exception {
+        Files.writeString(folder.resolve("config.json"), config);
         assertEquals(0, new ProcessBuilder("/bin/sh", "-c", "kill -HUP " + process.pid()).start().waitFor());
     }
 
@@ -505,21 +509,21 @@
 
     /** Guards against a gateway that SIGHUP ends, and against one that keeps using the old address of discovery. */
     @Test
-    void sighupMovesDiscovery() throws Exception {
+    void sighupChangesTheDiscoveryAddress() throws Exception {
         try (Server discovery = discovery(); Server moved = discovery(); Server one = host("one")) {
-            Process process = start(environment(folder, discovery, list(1, true, up("s1", one)), SETTINGS));
+            Process process = start(environment(folder, discovery, list(1, true, inService("s1", one)), SETTINGS));
             try {
-                Message before = await(discovery.received);
-                tell(before.socket(), list(5, false));
+                Message oldWatch = await(discovery.received);
+                tell(oldWatch.socket(), list(5, false));
                 awaitLog("list 5");
-                signalHup(process, "{\"discovery\":\"" + moved.address() + "\"}");
+                writeConfigAndSignalHup(process, "{\"discovery\":\"" + moved.address() + "\"}");
                 assertEquals("GET /v1/endpoints?watch=1&from=5 HTTP/1.1", await(moved.received).line());
                 assertNotNull(await(discovery.ended));
-                signalHup(process, "{\"discovery\":");
+                writeConfigAndSignalHup(process, "{\"discovery\":");
                 awaitLog("configuration not taken");
-                signalHup(process, "{\"discovery\":\"" + moved.address() + "\"}");
+                writeConfigAndSignalHup(process, "{\"discovery\":\"" + moved.address() + "\"}");
                 process.destroy();
-                assertTrue(process.waitFor(LIFE_SECONDS, TimeUnit.SECONDS));
+                assertTrue(process.waitFor(PROCESS_TIMEOUT_SECONDS, TimeUnit.SECONDS));
                 assertEquals(0, process.exitValue(), log());
             } finally {
                 process.destroyForcibly();
@@ -528,11 +532,12 @@
     }
 
     /** Sends one request to the admin address that the program has logged. */
-    private Message call(String line) throws Exception {
-        String at = log().lines().filter(l -> l.startsWith("operators may call")).findFirst().orElseThrow();
-        try (Socket socket = new Socket("127.0.0.1", Integer.parseInt(at.substring(at.lastIndexOf(':') + 1)))) {
+    private Message sendAdminRequest(String requestLine) throws Exception {
+        String logLine = log().lines().filter(l -> l.startsWith("operators may call")).findFirst().orElseThrow();
+        try (Socket socket = new Socket("127.0.0.1",
+                Integer.parseInt(logLine.substring(logLine.lastIndexOf(':') + 1)))) {
             socket.setSoTimeout(Loopback.WAIT_SECONDS * 1000);
-            write(socket, line + " HTTP/1.1\r\nHost: s\r\n\r\n");
+            write(socket, requestLine + " HTTP/1.1\r\nHost: s\r\n\r\n");
             return Loopback.read(socket);
         }
     }
@@ -540,28 +545,28 @@
     /** Guards against parts that work but are not connected in the program: it answers operators, drains, counts
         reloads, and stops. */
     @Test
-    void operatorsMayCallTheProgramFromItsStartToItsStop() throws Exception {
+    void adminRequestsWorkFromStartToStop() throws Exception {
         try (Server discovery = discovery(); Server moved = discovery(); Server one = host("one")) {
             Map<String, String> environment = new HashMap<>(
-                    environment(folder, discovery, list(1, true, up("s1", one)), SETTINGS));
+                    environment(folder, discovery, list(1, true, inService("s1", one)), SETTINGS));
             environment.put("NODE_ADMIN", "127.0.0.1:0");
             Process process = start(environment);
             try {
                 awaitLog("listening on");
-                assertEquals(200, call("GET /status").status());
-                signalHup(process, "{\"discovery\":");
+                assertEquals(200, sendAdminRequest("GET /status").status());
+                writeConfigAndSignalHup(process, "{\"discovery\":");
                 awaitLog("configuration not taken");
-                signalHup(process, "{\"discovery\":\"" + moved.address() + "\"}");
+                writeConfigAndSignalHup(process, "{\"discovery\":\"" + moved.address() + "\"}");
                 await(moved.received);
-                String figures = call("GET /status/metrics").text();
-                assertTrue(figures.contains("\nedge_node_reloads_failed_total 1\n"), figures);
-                assertTrue(figures.contains("\nedge_node_reloads_ok_total 1\n"), figures);
-                assertTrue(figures.contains("\nedge_node_hosts_known 1\n"), figures);
-                assertEquals(200, call("POST /standby").status());
+                String metrics = sendAdminRequest("GET /status/metrics").text();
+                assertTrue(metrics.contains("\nedge_node_reloads_failed_total 1\n"), metrics);
+                assertTrue(metrics.contains("\nedge_node_reloads_ok_total 1\n"), metrics);
+                assertTrue(metrics.contains("\nedge_node_hosts_known 1\n"), metrics);
+                assertEquals(200, sendAdminRequest("POST /standby").status());
                 awaitLog("standby");
-                assertEquals("standby\n", call("GET /status").text());
+                assertEquals("standby\n", sendAdminRequest("GET /status").text());
                 process.destroy();
-                assertTrue(process.waitFor(LIFE_SECONDS, TimeUnit.SECONDS));
+                assertTrue(process.waitFor(PROCESS_TIMEOUT_SECONDS, TimeUnit.SECONDS));
                 assertEquals(0, process.exitValue(), log());
             } finally {
                 process.destroyForcibly();
@@ -572,28 +577,28 @@
     /** Guards against an old list that replaces a newer one, and against an address change that is reported as a
         failure: what the old address still sends is ignored, and a new address that is not up yet is tried again. */
     @Test
-    void afterAMoveOnlyTheNewAddressIsHeard() throws Exception {
-        AtomicInteger calls = new AtomicInteger();
+    void onlyTheNewDiscoveryAddressCounts() throws Exception {
+        AtomicInteger requestCount = new AtomicInteger();
         try (Server discovery = discovery(); Server one = host("one");
                 Server moved = new Server(message -> {
-                    if (calls.getAndIncrement() == 0) {
+                    if (requestCount.getAndIncrement() == 0) {
                         message.socket().close();
                     } else {
                         write(message.socket(), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
                     }
                 });
-                Node node = new Node(environment(folder, discovery, list(1, true, up("s1", one)), SETTINGS))) {
-            Message before = await(discovery.received);
+                Node node = new Node(environment(folder, discovery, list(1, true, inService("s1", one)), SETTINGS))) {
+            Message oldWatch = await(discovery.received);
             node.loop.submit(() -> node.clients.gateway().discoverAt(Loopback.at(moved))).sync();
             await(moved.received);
             Message watch = await(moved.received);
             assertFalse(node.log.toString(StandardCharsets.UTF_8).contains("discovery failed"));
             assertThrows(IOException.class, () -> {
                 while (true) {
-                    tell(before.socket(), list(9, true));
+                    tell(oldWatch.socket(), list(9, true));
                 }
             });
-            tell(watch.socket(), list(6, true, up("s2", one)));
+            tell(watch.socket(), list(6, true, inService("s2", one)));
             awaitBody(node, "one");
             watch.socket().close();
             assertEquals("GET /v1/endpoints?watch=1&from=6 HTTP/1.1", await(moved.received).line());
@@ -603,16 +608,16 @@
     /** Guards against a drain that is missed when the address of discovery changes twice in a row: the list of the last
         address counts, also where the one between never answered. */
     @Test
-    void behindTwoMovesADrainIsHeardFromTheLastAddress() throws Exception {
+    void drainIsObeyedAfterTwoDiscoveryAddressChanges() throws Exception {
         try (Server discovery = discovery(); Server between = new Server(message -> { }); Server last = discovery();
                 Server one = host("one"); Server two = host("two");
-                Node node = new Node(environment(folder, discovery, list(1, true, up("s1", one)), SETTINGS))) {
+                Node node = new Node(environment(folder, discovery, list(1, true, inService("s1", one)), SETTINGS))) {
             await(discovery.received);
             node.loop.submit(() -> node.clients.gateway().discoverAt(Loopback.at(between))).sync();
             node.loop.submit(() -> node.clients.gateway().discoverAt(Loopback.at(last))).sync();
             Message watch = await(last.received);
             assertEquals("GET /v1/endpoints?watch=1&from=1 HTTP/1.1", watch.line());
-            tell(watch.socket(), list(7, true, up("s2", two)));  // without the host that drains
+            tell(watch.socket(), list(7, true, inService("s2", two)));  // without the host that drains
             awaitBody(node, "two");
             for (int i = 0; i < 20; i++) {
                 assertEquals("two", node.ask(read(20_000).replace("7f3a", "key" + i)).text());
@@ -625,16 +630,16 @@
         "NODE_CONFIG | /none/such | can't read", "NODE_LISTEN | here | address:port",
         "NODE_ADMIN | here | address:port", "NODE_ADMIN | 203.0.113.1:9 | no listening for operators on",
         "settings | \"balancers\":0 | gateways can't be 0", "settings | \"balancers\":\"two\" | balancers as a"})
-    void aBadConfigurationIsOnePlainLineAndStatus2(String what, String value, String expected) throws Exception {
+    void invalidConfigurationEndsWithOneLineAndStatus2(String setting, String value, String expected) throws Exception {
         try (Server discovery = discovery()) {
-            String settings = what.equals("settings") ? SETTINGS.replace("\"balancers\":1", value) : SETTINGS;
+            String settings = setting.equals("settings") ? SETTINGS.replace("\"balancers\":1", value) : SETTINGS;
             Map<String, String> environment = new HashMap<>(environment(folder, discovery, list(1, true), settings));
-            if (!what.equals("settings")) {
-                environment.put(what, value);
+            if (!setting.equals("settings")) {
+                environment.put(setting, value);
             }
             Process process = start(environment);
             try {
-                assertTrue(process.waitFor(LIFE_SECONDS, TimeUnit.SECONDS));
+                assertTrue(process.waitFor(PROCESS_TIMEOUT_SECONDS, TimeUnit.SECONDS));
                 assertEquals(2, process.exitValue(), log());
                 assertEquals(1, log().strip().lines().count(), log());
                 assertTrue(log().contains(expected), log());
--- a/src/test/java/mastdrift/net/HostConnectionPoolTest.java
+++ b/src/test/java/mastdrift/net/HostConnectionPoolTest.java
@@ -34,42 +34,43 @@
 /** Tests the pool of connections to hosts, on a clock that the test sets. */
 class HostConnectionPoolTest {
 
-    private static final long DIAL = 20_000_000;
-    private static final long IDLE = 5_000_000;
-    private static final long GRACE = 250_000;
-    private static final long LONG = 60_000_000;
+    private static final long CONNECT_TIMEOUT_MICROS = 20_000_000;
+    private static final long IDLE_TIMEOUT_MICROS = 5_000_000;
+    private static final long DRAIN_GRACE_MICROS = 250_000;
+    private static final long ATTEMPT_TIMEOUT_MICROS = 60_000_000;
 
     private final EventLoop loop = Main.loop();
     private final AtomicLong clock = new AtomicLong(1_000_000);
     private final BlockingQueue<Outcome> outcomes = new LinkedBlockingQueue<>();
-    private Server one;
-    private Server two;
+    private Server host1;
+    private Server host2;
 
     @BeforeEach
     void open() throws Exception {
-        one = host("1");
-        two = host("2");
+        host1 = host("1");
+        host2 = host("2");
     }
 
     @AfterEach
     void close() throws Exception {
         loop.parent().shutdownGracefully(0, 0, TimeUnit.SECONDS).syncUninterruptibly();
-        one.close();
-        two.close();
+        host1.close();
+        host2.close();
     }
 
-    private <T> T onLoop(Callable<T> what) throws Exception {
-        return loop.submit(what).get(Loopback.WAIT_SECONDS, TimeUnit.SECONDS);
+    private <T> T callOnLoop(Callable<T> task) throws Exception {
+        return loop.submit(task).get(Loopback.WAIT_SECONDS, TimeUnit.SECONDS);
     }
 
-    private HostConnectionPool pool(int most) throws Exception {
-        return onLoop(() -> {
-            GatewayMetrics tally = new GatewayMetrics(List.of());
+    private HostConnectionPool newPool(int maxConnections) throws Exception {
+        return callOnLoop(() -> {
+            GatewayMetrics metrics = new GatewayMetrics(List.of());
             EventLog log = new EventLog(clock::get, line -> { });
-            HostConnectionPool pool = new HostConnectionPool(loop, clock::get, new LoopMonitor(clock::get, () -> null, tally, log), DIAL, IDLE, GRACE,
-                    most, tally, log);
-            update(pool, list(1, true, entry("s1", one.address(), "a", "in_service"),
-                    entry("s2", two.address(), "a", "in_service")));
+            HostConnectionPool pool = new HostConnectionPool(loop, clock::get,
+                    new LoopMonitor(clock::get, () -> null, metrics, log), CONNECT_TIMEOUT_MICROS, IDLE_TIMEOUT_MICROS,
+                    DRAIN_GRACE_MICROS, maxConnections, metrics, log);
+            update(pool, list(1, true, entry("s1", host1.address(), "a", "in_service"),
+                    entry("s2", host2.address(), "a", "in_service")));
             return pool;
         });
     }
@@ -78,119 +79,119 @@
         pool.update(HostList.parse(JSON.std.anyFrom(json)));
     }
 
-    private HostConnectionPool.Attempt send(HostConnectionPool pool, String uid) {
-        FullHttpRequest message = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/api");
-        return pool.send(uid, message, LONG, (outcome, answer) -> outcomes.add(outcome));
+    private HostConnectionPool.Attempt send(HostConnectionPool pool, String hostId) {
+        FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/api");
+        return pool.send(hostId, request, ATTEMPT_TIMEOUT_MICROS, (outcome, response) -> outcomes.add(outcome));
     }
 
-    private Outcome outcome(HostConnectionPool pool, String uid) throws Exception {
-        onLoop(() -> send(pool, uid));
+    private Outcome outcomeOfRequest(HostConnectionPool pool, String hostId) throws Exception {
+        callOnLoop(() -> send(pool, hostId));
         return await(outcomes);
     }
 
     @Test
-    void aConnectionIsUsedAgain() throws Exception {
-        HostConnectionPool pool = pool(10);
-        assertEquals(Outcome.DELIVERED, outcome(pool, "s1"));
-        assertEquals(Outcome.DELIVERED, outcome(pool, "s1"));
-        assertEquals(1, one.accepted.size());
+    void connectionIsReused() throws Exception {
+        HostConnectionPool pool = newPool(10);
+        assertEquals(Outcome.DELIVERED, outcomeOfRequest(pool, "s1"));
+        assertEquals(Outcome.DELIVERED, outcomeOfRequest(pool, "s1"));
+        assertEquals(1, host1.accepted.size());
     }
 
     /** Guards against a gateway and its successor that together hold more connections than one may. */
     @Test
-    void whoLeavesBesideASuccessorKeepsNoIdleConnections() throws Exception {
-        HostConnectionPool pool = pool(10);
-        assertEquals(Outcome.DELIVERED, outcome(pool, "s1"));
-        onLoop(() -> {
+    void retiredPoolClosesIdleConnectionsSoon() throws Exception {
+        HostConnectionPool pool = newPool(10);
+        assertEquals(Outcome.DELIVERED, outcomeOfRequest(pool, "s1"));
+        callOnLoop(() -> {
             pool.retire();
             return null;
         });
-        clock.addAndGet(IDLE / 10);
-        assertNotNull(await(one.ended));
-        assertEquals(Outcome.DELIVERED, outcome(pool, "s1"));
+        clock.addAndGet(IDLE_TIMEOUT_MICROS / 10);
+        assertNotNull(await(host1.ended));
+        assertEquals(Outcome.DELIVERED, outcomeOfRequest(pool, "s1"));
     }
 
     /** Guards against a request on an idle connection that the host is about to close, which ends with a reset. */
     @Test
-    void anAgedIdleConnectionIsNotUsedAgain() throws Exception {
-        HostConnectionPool pool = pool(10);
-        assertEquals(Outcome.DELIVERED, outcome(pool, "s1"));
-        clock.addAndGet(IDLE * 9 / 10);
-        assertEquals(Outcome.DELIVERED, outcome(pool, "s1"));
-        assertEquals(2, one.accepted.size());
-        assertNotNull(await(one.ended));
+    void expiredIdleConnectionIsNotReused() throws Exception {
+        HostConnectionPool pool = newPool(10);
+        assertEquals(Outcome.DELIVERED, outcomeOfRequest(pool, "s1"));
+        clock.addAndGet(IDLE_TIMEOUT_MICROS * 9 / 10);
+        assertEquals(Outcome.DELIVERED, outcomeOfRequest(pool, "s1"));
+        assertEquals(2, host1.accepted.size());
+        assertNotNull(await(host1.ended));
     }
 
     @Test
-    void idleConnectionsCloseWhenAskedTo() throws Exception {
-        HostConnectionPool pool = pool(10);
-        outcome(pool, "s1");
-        onLoop(() -> {
+    void closeIdleClosesIdleConnections() throws Exception {
+        HostConnectionPool pool = newPool(10);
+        outcomeOfRequest(pool, "s1");
+        callOnLoop(() -> {
             pool.closeIdle("s1");
             return null;
         });
-        assertNotNull(await(one.ended));
+        assertNotNull(await(host1.ended));
     }
 
     /** Guards against a request that is sent after the drain grace since it waited for its connection meanwhile. */
     @Test
-    void anAttemptThatWaitsForAConnectionEndsWithTheGrace() throws Exception {
-        HostConnectionPool pool = pool(10);
-        onLoop(() -> {
+    void attemptWaitingForAConnectionIsNotSentAfterTheDrainGrace() throws Exception {
+        HostConnectionPool pool = newPool(10);
+        callOnLoop(() -> {
             send(pool, "s1");
-            update(pool, list(2, false, entry("s1", one.address(), "a", "terminating")));
-            clock.addAndGet(GRACE);
+            update(pool, list(2, false, entry("s1", host1.address(), "a", "terminating")));
+            clock.addAndGet(DRAIN_GRACE_MICROS);
             return null;
         });
         assertEquals(Outcome.UNUSED, await(outcomes));
-        assertTrue(one.received.isEmpty());
+        assertTrue(host1.received.isEmpty());
     }
 
     @Test
-    void aHostThatIsGoneGetsNothing() throws Exception {
-        HostConnectionPool pool = pool(10);
-        outcome(pool, "s1");
-        onLoop(() -> {
-            update(pool, list(2, true, entry("s2", two.address(), "a", "in_service")));
+    void removedHostGetsNoRequests() throws Exception {
+        HostConnectionPool pool = newPool(10);
+        outcomeOfRequest(pool, "s1");
+        callOnLoop(() -> {
+            update(pool, list(2, true, entry("s2", host2.address(), "a", "in_service")));
             return null;
         });
-        assertEquals(Outcome.UNUSED, outcome(pool, "s1"));
-        assertNotNull(await(one.ended));
-        assertEquals(1, one.received.size());
+        assertEquals(Outcome.UNUSED, outcomeOfRequest(pool, "s1"));
+        assertNotNull(await(host1.ended));
+        assertEquals(1, host1.received.size());
     }
 
     /** Guards against exceeding the bound of connections: idle ones are closed to make room, those in use are kept. */
     @Test
-    void atTheBoundTheEldestIdleConnectionMakesRoom() throws Exception {
-        HostConnectionPool pool = pool(1);
-        assertEquals(Outcome.DELIVERED, outcome(pool, "s1"));
-        onLoop(() -> {
+    void oldestIdleConnectionIsClosedAtTheBound() throws Exception {
+        HostConnectionPool pool = newPool(1);
+        assertEquals(Outcome.DELIVERED, outcomeOfRequest(pool, "s1"));
+        callOnLoop(() -> {
             send(pool, "s2");
             send(pool, "s1");
             return null;
         });
         assertEquals(Outcome.DIAL_FAILED, await(outcomes));
         assertEquals(Outcome.DELIVERED, await(outcomes));
-        assertNotNull(await(one.ended));
+        assertNotNull(await(host1.ended));
     }
 
     @Test
-    void aCancelledAttemptEndsOnceAndNothingIsSent() throws Exception {
-        HostConnectionPool pool = pool(10);
-        onLoop(() -> {
+    void cancelledAttemptEndsOnceAndIsNotSent() throws Exception {
+        HostConnectionPool pool = newPool(10);
+        callOnLoop(() -> {
             HostConnectionPool.Attempt attempt = send(pool, "s1");
             attempt.cancel();
             attempt.cancel();
             return null;
         });
         assertEquals(Outcome.REVOKED, await(outcomes));
-        assertEquals(Outcome.DELIVERED, outcome(pool, "s2"));
-        assertTrue(one.received.isEmpty() && outcomes.isEmpty());
+        assertEquals(Outcome.DELIVERED, outcomeOfRequest(pool, "s2"));
+        assertTrue(host1.received.isEmpty() && outcomes.isEmpty());
     }
 
-    private HostConnectionPool poolOf(Server host) throws Exception {
-        HostConnectionPool pool = pool(10);
-        onLoop(() -> {
+    private HostConnectionPool poolWithHost(Server host) throws Exception {
+        HostConnectionPool pool = newPool(10);
+        callOnLoop(() -> {
             update(pool, list(2, false, entry("s1", host.address(), "a", "in_service")));
             return null;
         });
@@ -201,43 +202,43 @@
         connection. */
     @ParameterizedTest
     @ValueSource(strings = {"HTTP/1.1 200 OK~Content-Length: 1~~1", "noise", "HTTP/1.1 200 OK~Content-Length: 9~~"})
-    void aConnectionOnWhichMoreCameIsNotUsedAgain(String more) throws Exception {
-        try (Server host = new Server(m -> write(m.socket(), answer("200 OK", "1") + more.replace("~", "\r\n")))) {
-            HostConnectionPool pool = poolOf(host);
-            assertEquals(Outcome.DELIVERED, outcome(pool, "s1"));
-            assertEquals(Outcome.DELIVERED, outcome(pool, "s1"));
+    void connectionWithDataBehindTheResponseIsNotReused(String extraData) throws Exception {
+        try (Server host = new Server(m -> write(m.socket(), answer("200 OK", "1") + extraData.replace("~", "\r\n")))) {
+            HostConnectionPool pool = poolWithHost(host);
+            assertEquals(Outcome.DELIVERED, outcomeOfRequest(pool, "s1"));
+            assertEquals(Outcome.DELIVERED, outcomeOfRequest(pool, "s1"));
             assertEquals(2, host.accepted.size());
         }
     }
 
     /** Guards against the same where the data arrives later, while the connection is idle. */
     @Test
-    void aByteOnAnIdleConnectionClosesIt() throws Exception {
+    void dataOnAnIdleConnectionClosesIt() throws Exception {
         try (Server host = host("1")) {
-            HostConnectionPool pool = poolOf(host);
-            assertEquals(Outcome.DELIVERED, outcome(pool, "s1"));
+            HostConnectionPool pool = poolWithHost(host);
+            assertEquals(Outcome.DELIVERED, outcomeOfRequest(pool, "s1"));
             write(await(host.received).socket(), "H");
             assertNotNull(await(host.ended));
-            assertEquals(Outcome.DELIVERED, outcome(pool, "s1"));
+            assertEquals(Outcome.DELIVERED, outcomeOfRequest(pool, "s1"));
         }
     }
 
     /** Guards against a second response that arrives some milliseconds later and is taken for the response to the next
         request: connections to a host that has sent unexpected data are reused only after a delay. */
     @Test
-    void whereAStrayWasSeenConnectionsRestBehindAnAnswer() throws Exception {
+    void reuseIsDelayedAfterUnexpectedData() throws Exception {
         try (Server host = host("1")) {
-            HostConnectionPool pool = poolOf(host);
-            assertEquals(Outcome.DELIVERED, outcome(pool, "s1"));
-            assertEquals(Outcome.DELIVERED, outcome(pool, "s1"));
+            HostConnectionPool pool = poolWithHost(host);
+            assertEquals(Outcome.DELIVERED, outcomeOfRequest(pool, "s1"));
+            assertEquals(Outcome.DELIVERED, outcomeOfRequest(pool, "s1"));
             assertEquals(1, host.accepted.size());
             write(await(host.received).socket(), answer("200 OK", "2"));
             assertNotNull(await(host.ended));
-            assertEquals(Outcome.DELIVERED, outcome(pool, "s1"));
-            assertEquals(Outcome.DELIVERED, outcome(pool, "s1"));
+            assertEquals(Outcome.DELIVERED, outcomeOfRequest(pool, "s1"));
+            assertEquals(Outcome.DELIVERED, outcomeOfRequest(pool, "s1"));
             assertEquals(3, host.accepted.size());
             clock.addAndGet(50_000);
-            assertEquals(Outcome.DELIVERED, outcome(pool, "s1"));
+            assertEquals(Outcome.DELIVERED, outcomeOfRequest(pool, "s1"));
             assertEquals(3, host.accepted.size());
         }
     }
@@ -253,32 +254,32 @@
         "HTTP/1.1 200 OK~Content-Length: 1~Transfer-Encoding: chunked~~1~1~0~~",
         "HTTP/1.1 200 OK~Transfer-Encoding: chunked~~1~1~zz~1~0~~",
         "HTTP/1.1 101 Switching Protocols~Upgrade: other~Connection: upgrade~~HTTP/1.1 200 OK~Content-Length: 1~~1"})
-    void aSpoiltAnswerIsADroppedAttempt(String spoilt) throws Exception {
-        try (Server host = new Server(m -> write(m.socket(), spoilt.replace("~", "\r\n")))) {
-            HostConnectionPool pool = poolOf(host);
-            assertEquals(Outcome.DROPPED, outcome(pool, "s1"));
+    void invalidResponseIsADroppedAttempt(String invalid) throws Exception {
+        try (Server host = new Server(m -> write(m.socket(), invalid.replace("~", "\r\n")))) {
+            HostConnectionPool pool = poolWithHost(host);
+            assertEquals(Outcome.DROPPED, outcomeOfRequest(pool, "s1"));
             assertNotNull(await(host.ended));
         }
     }
 
     @Test
-    void endlessInterimAnswersAreADroppedAttempt() throws Exception {
+    void endlessInterimResponsesAreADroppedAttempt() throws Exception {
         try (Server host = new Server(m -> {
             while (true) {
                 write(m.socket(), "HTTP/1.1 102 Processing\r\n\r\n");
             }
         })) {
-            assertEquals(Outcome.DROPPED, outcome(poolOf(host), "s1"));
+            assertEquals(Outcome.DROPPED, outcomeOfRequest(poolWithHost(host), "s1"));
         }
     }
 
     @Test
-    void interimAnswersAheadChangeNothing() throws Exception {
+    void interimResponsesAreSkipped() throws Exception {
         try (Server host = new Server(m -> write(m.socket(), "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n"
                 + "HTTP/1.1 102 Processing\r\n\r\n" + answer("200 OK", "1")))) {
-            HostConnectionPool pool = poolOf(host);
-            assertEquals(Outcome.DELIVERED, outcome(pool, "s1"));
-            assertEquals(Outcome.DELIVERED, outcome(pool, "s1"));
+            HostConnectionPool pool = poolWithHost(host);
+            assertEquals(Outcome.DELIVERED, outcomeOfRequest(pool, "s1"));
+            assertEquals(Outcome.DELIVERED, outcomeOfRequest(pool, "s1"));
             assertEquals(1, host.accepted.size());
         }
     }
@@ -286,28 +287,28 @@
     /** Guards against a request that is sent to the old address of a host that has moved, which may be another host's
         now. */
     @Test
-    void aConnectionToWhereAHostWasIsNotUsedAgain() throws Exception {
-        try (Server old = new Server(message -> { })) {
-            HostConnectionPool pool = poolOf(old);
-            onLoop(() -> send(pool, "s1"));
-            Message held = await(old.received);
-            onLoop(() -> {
-                update(pool, list(3, false, entry("s1", one.address(), "a", "in_service")));
+    void connectionToAHostsOldAddressIsNotReused() throws Exception {
+        try (Server oldHost = new Server(message -> { })) {
+            HostConnectionPool pool = poolWithHost(oldHost);
+            callOnLoop(() -> send(pool, "s1"));
+            Message openRequest = await(oldHost.received);
+            callOnLoop(() -> {
+                update(pool, list(3, false, entry("s1", host1.address(), "a", "in_service")));
                 return null;
             });
-            write(held.socket(), answer("200 OK", "1"));
+            write(openRequest.socket(), answer("200 OK", "1"));
             assertEquals(Outcome.DELIVERED, await(outcomes));
-            assertEquals(Outcome.DELIVERED, outcome(pool, "s1"));
-            assertEquals(1, one.received.size());
+            assertEquals(Outcome.DELIVERED, outcomeOfRequest(pool, "s1"));
+            assertEquals(1, host1.received.size());
         }
     }
 
     /** Guards against failed connection attempts that use up the bound of connections. */
     @Test
-    void aFailedDialFreesItsPlace() throws Exception {
-        HostConnectionPool pool = pool(1);
-        one.close();
-        assertEquals(Outcome.DIAL_FAILED, outcome(pool, "s1"));
-        assertEquals(Outcome.DELIVERED, outcome(pool, "s2"));
+    void failedConnectDoesNotCountAgainstTheBound() throws Exception {
+        HostConnectionPool pool = newPool(1);
+        host1.close();
+        assertEquals(Outcome.DIAL_FAILED, outcomeOfRequest(pool, "s1"));
+        assertEquals(Outcome.DELIVERED, outcomeOfRequest(pool, "s2"));
     }
 }
--- a/src/test/java/mastdrift/net/LifecycleModelTest.java
+++ b/src/test/java/mastdrift/net/LifecycleModelTest.java
@@ -10,7 +10,7 @@
 /** Model test of the lifecycle: every sequence of up to eight calls, against the rules of the operations manual. */
 class LifecycleModelTest {
 
-    private static final int DEPTH = 8;
+    private static final int MAX_CALLS = 8;
 
     private enum Event { STARTED, STANDBY, ACTIVE, STOP }
 
@@ -27,40 +27,40 @@
     }
 
     private static int explore(List<Event> path) {
-        Lifecycle life = new Lifecycle();
-        AtomicInteger told = new AtomicInteger();
-        int calls = 0;
+        Lifecycle lifecycle = new Lifecycle();
+        AtomicInteger notifications = new AtomicInteger();
+        int expectedNotifications = 0;
         boolean started = false;
         boolean stopped = false;
         for (Event event : path) {
             switch (event) {
-                case STARTED -> life.markStarted(told::incrementAndGet);
-                case STOP -> life.stop();
+                case STARTED -> lifecycle.markStarted(notifications::incrementAndGet);
+                case STOP -> lifecycle.stop();
                 default -> {
                     boolean wanted = event == Event.STANDBY;
-                    assertEquals(!stopped || wanted, life.setStandby(wanted), path.toString());
+                    assertEquals(!stopped || wanted, lifecycle.setStandby(wanted), path.toString());
                 }
             }
             started |= event == Event.STARTED;
             stopped |= event == Event.STOP;
-            calls += event == Event.STARTED || started && !stopped && event != Event.STOP ? 1 : 0;
+            expectedNotifications += event == Event.STARTED || started && !stopped && event != Event.STOP ? 1 : 0;
         }
-        assertEquals(expected(path), life.state(), path.toString());
-        assertEquals(expected(path) == Lifecycle.State.ACTIVE, life.isReady(), path.toString());
-        assertEquals(calls, told.get(), "notifications: " + path);
-        int count = 1;
+        assertEquals(expected(path), lifecycle.state(), path.toString());
+        assertEquals(expected(path) == Lifecycle.State.ACTIVE, lifecycle.isReady(), path.toString());
+        assertEquals(expectedNotifications, notifications.get(), "notifications: " + path);
+        int pathCount = 1;
         for (Event next : Event.values()) {
-            if (path.size() < DEPTH && !(next == Event.STARTED && path.contains(Event.STARTED))) {
+            if (path.size() < MAX_CALLS && !(next == Event.STARTED && path.contains(Event.STARTED))) {
                 List<Event> longer = new ArrayList<>(path);
                 longer.add(next);
-                count += explore(longer);
+                pathCount += explore(longer);
             }
         }
-        return count;
+        return pathCount;
     }
 
     @Test
-    void everyOrderOfCallsGivesTheStateThatThePageTells() {
+    void everySequenceOfCallsEndsInTheStateOfTheModel() {
         assertEquals(true, explore(List.of()) > 30_000);
     }
 }
--- a/src/test/java/mastdrift/net/LogOutputTest.java
+++ b/src/test/java/mastdrift/net/LogOutputTest.java
@@ -30,10 +30,11 @@
 /** Tests real processes whose standard output accepts nothing. */
 class LogOutputTest {
 
-    private static final int LIFE_SECONDS = 60;
-    private static final int REQUESTS = 14;
+    private static final int PROCESS_TIMEOUT_SECONDS = 60;
+    private static final int REQUEST_COUNT = 14;
     // Fills the pipe byte by byte, without blocking once it is full.
-    private static final String FILL = "dd if=/dev/zero of=/dev/stdout oflag=nonblock bs=1 count=4000000 2>/dev/null; ";
+    private static final String FILL_PIPE_COMMAND =
+            "dd if=/dev/zero of=/dev/stdout oflag=nonblock bs=1 count=4000000 2>/dev/null; ";
 
     @TempDir
     private Path folder;
@@ -45,21 +46,21 @@
     }
 
     /** Starts a gateway whose discovery is down, so that it keeps logging. */
-    private Process start(String before, String redirect, int port, int adminPort, Server host) throws IOException {
-        Server away = discovery();
-        Map<String, String> environment = new HashMap<>(environment(folder, away,
+    private Process start(String shellPrefix, String redirect, int port, int adminPort, Server host) throws IOException {
+        Server stoppedDiscovery = discovery();
+        Map<String, String> environment = new HashMap<>(environment(folder, stoppedDiscovery,
                 list(1, true, entry("s1", host.address(), "a", "in_service")), SETTINGS));
-        away.close();
+        stoppedDiscovery.close();
         environment.put("NODE_LISTEN", "127.0.0.1:" + port);
         environment.put("NODE_ADMIN", "127.0.0.1:" + adminPort);
-        ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", before + "exec \"$0\" -cp \"$1\" mastdrift.net.Main"
+        ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", shellPrefix + "exec \"$0\" -cp \"$1\" mastdrift.net.Main"
                 + redirect, System.getProperty("java.home") + "/bin/java", System.getProperty("java.class.path"));
         builder.environment().keySet().removeIf(name -> name.startsWith("NODE_"));
         builder.environment().putAll(environment);
         return builder.start();
     }
 
-    private static Loopback.Message ask(int port, String request) throws IOException {
+    private static Loopback.Message sendRequest(int port, String request) throws IOException {
         try (Socket socket = new Socket()) {
             socket.connect(new InetSocketAddress("127.0.0.1", port));
             socket.setSoTimeout(Loopback.WAIT_SECONDS * 1000);
@@ -70,10 +71,10 @@
 
     /** Waits until the gateway is ready; fails if it is not within the time limit. */
     private static void awaitReady(int port) throws Exception {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(LIFE_SECONDS);
-        while (System.nanoTime() < until) {
+        long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(PROCESS_TIMEOUT_SECONDS);
+        while (System.nanoTime() < deadline) {
             try {
-                if (ask(port, "GET /ready HTTP/1.1\r\nHost: s\r\n\r\n").status() == 200) {
+                if (sendRequest(port, "GET /ready HTTP/1.1\r\nHost: s\r\n\r\n").status() == 200) {
                     return;
                 }
             } catch (IOException notYet) {
@@ -84,28 +85,28 @@
     }
 
     private static void assertServes(int port) throws IOException {
-        for (int i = 0; i < REQUESTS; i++) {
-            Loopback.Message answer = ask(port, read(20_000));
-            assertEquals("one", answer == null ? "no answer" : answer.text());
+        for (int i = 0; i < REQUEST_COUNT; i++) {
+            Loopback.Message response = sendRequest(port, read(20_000));
+            assertEquals("one", response == null ? "no answer" : response.text());
         }
     }
 
-    private static void assertEndsInOrder(Process process) throws InterruptedException {
+    private static void assertStopsCleanly(Process process) throws InterruptedException {
         process.destroy();
-        assertTrue(process.waitFor(LIFE_SECONDS, TimeUnit.SECONDS));
+        assertTrue(process.waitFor(PROCESS_TIMEOUT_SECONDS, TimeUnit.SECONDS));
         assertEquals(0, process.exitValue());
     }
 
     /** Guards against a gateway that a full pipe blocks: at its start, under requests, or at its stop. */
     @Test
-    void aLogThatNobodyReadsHoldsUpNoRequestAndNoStop() throws Exception {
+    void unreadLogBlocksNeitherRequestsNorTheStop() throws Exception {
         int port = freePort();
         try (Server one = host("one")) {
-            Process process = start(FILL, "", port, freePort(), one);
+            Process process = start(FILL_PIPE_COMMAND, "", port, freePort(), one);
             try {
                 awaitReady(port);
                 assertServes(port);
-                assertEndsInOrder(process);
+                assertStopsCleanly(process);
             } finally {
                 process.destroyForcibly();
             }
@@ -114,10 +115,10 @@
 
     /** Guards against a log that stays silent after its reader has resumed. */
     @Test
-    void aReaderThatComesBackGetsTheLog() throws Exception {
+    void logContinuesWhenItsReaderResumes() throws Exception {
         int port = freePort();
         try (Server one = host("one")) {
-            Process process = start(FILL, "", port, freePort(), one);
+            Process process = start(FILL_PIPE_COMMAND, "", port, freePort(), one);
             try {
                 awaitReady(port);
                 BufferedReader log = process.inputReader(StandardCharsets.UTF_8);
@@ -125,7 +126,7 @@
                     assertTrue(process.isAlive());
                 }
                 assertServes(port);
-                assertEndsInOrder(process);
+                assertStopsCleanly(process);
             } finally {
                 process.destroyForcibly();
             }
@@ -134,7 +135,7 @@
 
     /** Guards against a gateway that a full disk blocks, and against lost lines that are not counted. */
     @Test
-    void aLogThatCantBeWrittenHoldsUpNothingAndIsCounted() throws Exception {
+    void failingLogOutputBlocksNothingAndLostLinesAreCounted() throws Exception {
         int port = freePort();
         int adminPort = freePort();
         try (Server one = host("one")) {
@@ -142,11 +143,11 @@
             try {
                 awaitReady(port);
                 assertServes(port);
-                String metrics = ask(adminPort, "GET /status/metrics HTTP/1.1\r\nHost: s\r\n\r\n").text();
+                String metrics = sendRequest(adminPort, "GET /status/metrics HTTP/1.1\r\nHost: s\r\n\r\n").text();
                 long lost = Stream.of(metrics.split("\n")).filter(line -> line.startsWith("edge_node_log_lines_dropped_total "))
                         .mapToLong(line -> Long.parseLong(line.split(" ")[1])).sum();
                 assertTrue(lost > 0, metrics);
-                assertEndsInOrder(process);
+                assertStopsCleanly(process);
             } finally {
                 process.destroyForcibly();
             }
--- a/src/test/java/mastdrift/net/LogWriterTest.java
+++ b/src/test/java/mastdrift/net/LogWriterTest.java
@@ -24,15 +24,15 @@
     private final ByteArrayOutputStream written = new ByteArrayOutputStream();
 
     /** The write method of an output. */
-    private interface Takes {
-        int take(ByteBuffer bytes) throws IOException;
+    private interface Output {
+        int write(ByteBuffer bytes) throws IOException;
     }
 
-    private LogWriter writer(Takes output) {
+    private LogWriter writer(Output output) {
         return LogWriter.start(new WritableByteChannel() {
             @Override
             public int write(ByteBuffer bytes) throws IOException {
-                return output.take(bytes);
+                return output.write(bytes);
             }
 
             @Override
@@ -45,8 +45,8 @@
         }, dropped::incrementAndGet);
     }
 
-    private int take(ByteBuffer bytes, int most) {
-        int count = Math.min(most, bytes.remaining());
+    private int writePart(ByteBuffer bytes, int maxBytes) {
+        int count = Math.min(maxBytes, bytes.remaining());
         byte[] part = new byte[count];
         bytes.get(part);
         written.writeBytes(part);
@@ -60,44 +60,44 @@
     /** Guards against callers that are blocked by the output, and against queued lines that use up the memory
         meanwhile. */
     @Test
-    void linesThatAnOutputDoesNotTakeAreBoundedDroppedAndTold() throws Exception {
-        CountDownLatch reader = new CountDownLatch(1);
+    void queuedLinesAreBoundedAndDroppedOnesReported() throws Exception {
+        CountDownLatch outputUnblocked = new CountDownLatch(1);
         LogWriter writer = writer(bytes -> {
             try {
-                reader.await();
+                outputUnblocked.await();
             } catch (InterruptedException e) {
                 throw new IOException(e);
             }
-            return take(bytes, Integer.MAX_VALUE);
+            return writePart(bytes, Integer.MAX_VALUE);
         });
         int total = 3 * LogWriter.MAX_QUEUED_CHARS / 1000;
         for (int i = 0; i < total; i++) {
             writer.accept(String.format("%01000d", i));
         }
         assertFalse(writer.flush(1));
-        int kept = total - dropped.get();
-        assertTrue(kept > 0 && kept <= LogWriter.MAX_QUEUED_CHARS / 1000, "kept " + kept);
-        reader.countDown();
+        int queued = total - dropped.get();
+        assertTrue(queued > 0 && queued <= LogWriter.MAX_QUEUED_CHARS / 1000, "kept " + queued);
+        outputUnblocked.countDown();
         assertTrue(writer.flush(FLUSH_MILLIS));
         writer.accept("the next");
         assertTrue(writer.flush(FLUSH_MILLIS));
-        assertEquals(kept + 2, lines().size());
+        assertEquals(queued + 2, lines().size());
         assertEquals(1, lines().stream().filter(("event=log_lines_dropped lines=" + dropped.get())::equals).count());
-        assertEquals("the next", lines().get(kept + 1));
+        assertEquals("the next", lines().get(queued + 1));
     }
 
     /** Guards against a log that ends for good after a failed write, and against lines that run into each other. */
     @Test
-    void aLineThatTheOutputRefusesIsToldAndTheNextBeginsAnew() throws Exception {
+    void failedLineIsReportedAndTheNextStartsOnANewLine() throws Exception {
         AtomicInteger calls = new AtomicInteger();
         LogWriter writer = writer(bytes -> {
             if (calls.incrementAndGet() == 2) {
-                return take(bytes, 3);
+                return writePart(bytes, 3);
             }
             if (calls.get() == 3) {
                 throw new IOException("No space left on device");
             }
-            return take(bytes, Integer.MAX_VALUE);
+            return writePart(bytes, Integer.MAX_VALUE);
         });
         for (String line : List.of("first", "second", "third")) {
             writer.accept(line);
@@ -109,9 +109,9 @@
 
     /** Guards against incomplete lines where the output accepts some bytes, or none for a moment. */
     @Test
-    void anOutputMayTakeALineInParts() throws Exception {
+    void lineWrittenInPartsIsComplete() throws Exception {
         AtomicInteger calls = new AtomicInteger();
-        LogWriter writer = writer(bytes -> calls.incrementAndGet() % 2 == 0 ? 0 : take(bytes, 4));
+        LogWriter writer = writer(bytes -> calls.incrementAndGet() % 2 == 0 ? 0 : writePart(bytes, 4));
         writer.accept("two\nlines are one");
         assertTrue(writer.flush(FLUSH_MILLIS));
         assertEquals(List.of("two lines are one"), lines());
