--- a/src/main/java/mastdrift/net/DiscoveryClient.java
+++ b/src/main/java/mastdrift/net/DiscoveryClient.java
@@ -178,7 +178,7 @@
         private final boolean watching;
         private final JsonFrameDetector frameDetector = new JsonFrameDetector();
         private ByteBuf buffer;
-        private int scannedBytes;  // bytes of the text that the frame detector has read
+        private int scannedBytes;  // bytes of the buffer that the frame detector has read
         private boolean finished;
         private String failureCause = "the connection ended";
         private Future<?> timeout;
--- a/src/main/java/mastdrift/net/EventLog.java
+++ b/src/main/java/mastdrift/net/EventLog.java
@@ -11,7 +11,7 @@
     out. Not thread-safe: used on the gateway's event loop only. */
 final class EventLog {
 
-    /** The kinds of events. */
+    /** The kinds of events; their lower-cased names are the values of {@code event}. */
     enum Event {
         /** A call to accept failed; accepting goes on after a pause. */
         ACCEPT_FAILED,
--- a/src/main/java/mastdrift/net/GatewayMetrics.java
+++ b/src/main/java/mastdrift/net/GatewayMetrics.java
@@ -15,10 +15,13 @@
     what changed since the last such line. Uses no memory for each request. */
 final class GatewayMetrics {
 
-    /** Counters, in their order in the log line. REFUSED_AT_BOUND and OVERDUE are also counted as requests refused and
-        failed; DEPARTED, requests whose client disconnected, as neither. UNANSWERED counts connections that the gateway
-        closed itself while a request on them was open. LOOP_LATE_* splits LOOP_LATE by cause. OFF_LOOP counts callbacks
-        on a wrong thread. LOG_LINES_DROPPED counts lines that the output did not accept in time. */
+    /** Counters, in their order in the log line; the log and the metrics have their lower-cased names. TAKEN counts the
+        requests that were submitted. REFUSED_AT_BOUND and OVERDUE are also counted as requests refused and failed;
+        DEPARTED, requests whose client disconnected, as neither. CLIENTS_CAME counts client connections,
+        CLIENTS_PUSHED_OUT those closed to make room for others, and UNANSWERED those that the gateway closed itself
+        while a request on them was open. HOST_DIALS counts attempts to connect to hosts, HOST_NO_ROOM attempts of
+        requests for which the connection pool had no room. LOOP_LATE_* splits LOOP_LATE by cause. OFF_LOOP counts
+        callbacks on a wrong thread. LOG_LINES_DROPPED counts lines that the output did not accept in time. */
     enum Counter { TAKEN, REFUSED_AT_BOUND, OVERDUE, DEPARTED, CLIENTS_CAME, CLIENTS_PUSHED_OUT, UNANSWERED,
         ACCEPTS_FAILED, HOST_DIALS, HOST_DIALS_FAILED, HOST_NO_ROOM, ATTEMPTS_WRITTEN, WRITES_DEFERRED, LOOP_LATE,
         LOOP_LATE_STARVED, LOOP_LATE_BUSY, LOOP_LATE_BLOCKED, OFF_LOOP, RELOADS_OK, RELOADS_FAILED, LOG_LINES_DROPPED }
--- a/src/main/java/mastdrift/net/HostConnectionPool.java
+++ b/src/main/java/mastdrift/net/HostConnectionPool.java
@@ -458,7 +458,7 @@
         }
     }
 
-    /** One connection, which carries one attempt at a time. */
+    /** One connection to a host, which carries one attempt at a time. */
     private final class HostConnection extends SimpleChannelInboundHandler<Assembler.Part> {
 
         private final Channel channel;
@@ -527,7 +527,8 @@
             channel.write(head);
             channel.writeAndFlush(new DefaultHttpContent(request.content()));
             sent.stopTimers();
-            if (sent.bodyRelay.full() || sent.bodyRelay.over()) {  // the rest may have been received long ago
+            // Where reading was paused, the rest may have been received long ago: only what is left of the time remains.
+            if (sent.bodyRelay.full() || sent.bodyRelay.over()) {
                 sent.timeout = sent.deadline - clock.getAsLong();
             }
             sent.lastProgressAt = clock.getAsLong();
--- a/src/main/java/mastdrift/net/LoopMonitor.java
+++ b/src/main/java/mastdrift/net/LoopMonitor.java
@@ -9,10 +9,10 @@
     used on the loop's thread only. Times are in microseconds. */
 final class LoopMonitor {
 
-    /** Kinds of the loop's tasks that may take long. */
+    /** Kinds of the loop's tasks that may take long; the log has their lower-cased names. */
     enum Task { ACCEPT, CLIENT_READ, UPSTREAM_READ, HOST_LIST, TIMER, SWEEP }
 
-    /** What took most of the time of a late loop. */
+    /** What took most of the time of a late loop; the log has the lower-cased names. */
     enum Cause {
         /** The thread was ready to run and waited for a core. */
         STARVED(GatewayMetrics.Counter.LOOP_LATE_STARVED),
@@ -43,7 +43,7 @@
     private Task longestTask;
     private long longestTaskMicros;
 
-    /** {@code times} gives the CPU times of the loop's thread, or null where they can't be read. */
+    /** {@code threadTimes} gives the scheduling times of the loop's thread, or null where they can't be read. */
     LoopMonitor(LongSupplier clock, Supplier<ThreadTimes.Sample> threadTimes, GatewayMetrics metrics, EventLog log) {
         this.clock = clock;
         this.threadTimes = threadTimes;
--- a/src/main/java/mastdrift/net/WarmUp.java
+++ b/src/main/java/mastdrift/net/WarmUp.java
@@ -71,13 +71,11 @@
                     new Host("rehearsal-" + i, config.settings().topology().zone(), 0, "", 1, HostState.IN_SERVICE, 0),
                     hostAddress)).toList();
             Config warmUpConfig = new Config(anyPort, false, null, hostAddress, config.maxSockets(),
-                    new HostList(0, true, hosts),
-                    config.settings());
+                    new HostList(0, true, hosts), config.settings());
             Lifecycle lifecycle = new Lifecycle();
             ClientSide server = CompletableFuture.supplyAsync(() -> new ClientSide(loop, new Gateway(warmUpConfig, loop,
                     System::nanoTime, new HeadroomBalancer(), warmUpConfig.newMetrics(), HOST_COUNT * 2, HOST_COUNT,
-                    line -> { }), config.settings(), HOST_COUNT, lifecycle), loop)
-                    .join();
+                    line -> { }), config.settings(), HOST_COUNT, lifecycle), loop).join();
             server.listen(anyPort).sync();
             lifecycle.markStarted(() -> { });
             sendAll(server.address(), config, longBodies);
