--- a/src/main/java/mastdrift/net/HostConnectionPool.java
+++ b/src/main/java/mastdrift/net/HostConnectionPool.java
@@ -527,7 +527,7 @@
             channel.write(head);
             channel.writeAndFlush(new DefaultHttpContent(request.content()));
             sent.stopTimers();
-            // Where reading was paused, the rest may have been received long ago: only what is left of the time remains.
+            // Where reading was paused, the rest may have been received long ago: only the time that is left applies.
             if (sent.bodyRelay.full() || sent.bodyRelay.over()) {
                 sent.timeout = sent.deadline - clock.getAsLong();
             }
