--- a/src/main/java/mastdrift/net/ThreadTimes.java
+++ b/src/main/java/mastdrift/net/ThreadTimes.java
@@ -25,7 +25,7 @@
         }
         try {
             if (file == null) {
-                file = new RandomAccessFile(SCHEDSTAT_FILE, "r");  // stays open, since there may be no free descriptor later
+                file = new RandomAccessFile(SCHEDSTAT_FILE, "r");  // stays open: later there may be no descriptor
             }
             file.seek(0);
             return parse(new String(buffer, 0, Math.max(0, file.read(buffer)), StandardCharsets.US_ASCII));
--- a/src/main/java/mastdrift/net/WarmUp.java
+++ b/src/main/java/mastdrift/net/WarmUp.java
@@ -73,9 +73,9 @@
             Config warmUpConfig = new Config(anyPort, false, null, hostAddress, config.maxSockets(),
                     new HostList(0, true, hosts), config.settings());
             Lifecycle lifecycle = new Lifecycle();
-            ClientSide server = CompletableFuture.supplyAsync(() -> new ClientSide(loop, new Gateway(warmUpConfig, loop,
-                    System::nanoTime, new HeadroomBalancer(), warmUpConfig.newMetrics(), HOST_COUNT * 2, HOST_COUNT,
-                    line -> { }), config.settings(), HOST_COUNT, lifecycle), loop).join();
+            ClientSide server = CompletableFuture.supplyAsync(() -> new ClientSide(loop, new Gateway(warmUpConfig,
+                    loop, System::nanoTime, new HeadroomBalancer(), warmUpConfig.newMetrics(), HOST_COUNT * 2,
+                    HOST_COUNT, line -> { }), config.settings(), HOST_COUNT, lifecycle), loop).join();
             server.listen(anyPort).sync();
             lifecycle.markStarted(() -> { });
             sendAll(server.address(), config, longBodies);
--- a/src/test/java/mastdrift/net/AdminServerTest.java
+++ b/src/test/java/mastdrift/net/AdminServerTest.java
@@ -53,7 +53,8 @@
     }
 
     private static String metric(Node node, String name) throws Exception {
-        return node.call("GET /status/metrics").text().lines().filter(line -> line.startsWith("edge_node_" + name + " "))
+        return node.call("GET /status/metrics").text().lines()
+                .filter(line -> line.startsWith("edge_node_" + name + " "))
                 .map(line -> line.substring(line.lastIndexOf(' ') + 1)).findFirst().orElse("missing");
     }
 
@@ -69,7 +70,8 @@
     @CsvSource({"GET /status, 200", "GET /status/metrics?x=1, 200", "POST /active, 200", "GET /elsewhere, 404",
         "POST /status, 405", "GET /standby, 405", "nonsense, 400"})
     void requestsGetTheirStatus(String requestLine, int status) throws Exception {
-        try (Server discovery = discovery(); Node node = new Node(environmentWithAdmin(discovery))) {
+        try (Server discovery = discovery();
+                Node node = new Node(environmentWithAdmin(discovery))) {
             Message response = node.call(requestLine);
             assertEquals(status, response.status());
             assertEquals("close", response.header("Connection"));
@@ -110,7 +112,8 @@
         request. */
     @Test
     void silentCallersAreClosedAndBlockNoOthers() throws Exception {
-        try (Server discovery = discovery(); Node node = new Node(environmentWithAdmin(discovery))) {
+        try (Server discovery = discovery();
+                Node node = new Node(environmentWithAdmin(discovery))) {
             List<Socket> silent = new ArrayList<>();
             for (int i = 0; i < 3 * AdminServer.MAX_CONNECTIONS; i++) {
                 Socket caller = new Socket(node.admin.address().getAddress(), node.admin.address().getPort());
@@ -157,7 +160,8 @@
             awaitMetric(node, "in_flight", "0");
             assertEquals("0", metric(node, "requests_total{class=\"read\",outcome=\"served\"}"));
         }
-        try (Server discovery = discovery(); Node node = new Node(environmentWithAdmin(discovery))) {
+        try (Server discovery = discovery();
+                Node node = new Node(environmentWithAdmin(discovery))) {
             assertEquals(503, node.ask(read(20_000)).status());
             awaitMetric(node, "requests_total{class=\"read\",outcome=\"refused\"}", "1");
         }
--- a/src/test/java/mastdrift/net/ConfigReloaderTest.java
+++ b/src/test/java/mastdrift/net/ConfigReloaderTest.java
@@ -78,7 +78,8 @@
 
     @Test
     void unreadableFileIsReportedOnceAndChangesNothing() {
-        new ConfigReloader(readerFailing(Integer.MAX_VALUE), applied::add, failures::add, millis -> { }).signalReceived();
+        new ConfigReloader(readerFailing(Integer.MAX_VALUE), applied::add, failures::add, millis -> { })
+                .signalReceived();
         assertEquals(List.of(), applied);
         assertEquals(List.of("too many open files"), failures);
     }
--- a/src/test/java/mastdrift/net/GatewayLifecycleTest.java
+++ b/src/test/java/mastdrift/net/GatewayLifecycleTest.java
@@ -75,7 +75,8 @@
         where lists are pushed, the gateway has to obey them from its start on. */
     @Test
     void newProcessObeysADrainBeforeItsFirstClient() throws Exception {
-        try (Server one = host("one"); Server two = host("two"); Server discovery = new Server(message -> {
+        try (Server one = host("one"); Server two = host("two");
+                Server discovery = new Server(message -> {
             write(message.socket(), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         })) {
             Map<String, String> environment = environment(folder, discovery, list(1, true, inService("s1", one)),
@@ -83,7 +84,8 @@
             CompletableFuture<Node> starting = CompletableFuture.supplyAsync(() -> new Node(environment));
             Socket watch = await(discovery.received).socket();
             assertThrows(TimeoutException.class, () -> starting.get(300, TimeUnit.MILLISECONDS));
-            tell(watch, list(2, false, entry("s1", one.address(), "a", "terminating"), inService("s2", two)));
+            tell(watch, list(2, false, entry("s1", one.address(), "a", "terminating"),
+                    inService("s2", two)));
             try (Node node = starting.get(PROCESS_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
                 assertEquals("two", node.ask(read(20_000)).text());
             }
@@ -95,10 +97,13 @@
     @ParameterizedTest
     @ValueSource(ints = {1, 7, 1_000_000})
     void indentedListInPiecesIsRead(int piece) throws Exception {
-        try (Server discovery = discovery(); Server one = host("one"); Server two = host("two");
-                Node node = new Node(environment(folder, discovery, list(1, true, inService("s1", one)), SETTINGS))) {
+        try (Server discovery = discovery(); Server one = host("one");
+                Server two = host("two");
+                Node node = new Node(
+                        environment(folder, discovery, list(1, true, inService("s1", one)), SETTINGS))) {
             Message watch = await(discovery.received);
-            String indented = list(7, false, entry("s1", one.address(), "a", "terminating"), inService("s}\\\"{2", two))
+            String indented = list(7, false, entry("s1", one.address(), "a", "terminating"),
+                    inService("s}\\\"{2", two))
                     .replace("{", "{\n  ").replace("},", "},\r\n  ").replace("]", "\n ]").replace("s}\\\"{\n  2", "s}\\\"{2");
             String lines = "\n" + indented + "\n\n" + list(8, false) + "\n";
             synchronized (watch.socket()) {  // after the head of the response
@@ -119,11 +124,14 @@
     @ParameterizedTest
     @ValueSource(strings = {"end", "odd", "silence"})
     void failedWatchIsResumed(String failure) throws Exception {
-        try (Server discovery = discovery(); Server one = host("one"); Server two = host("two");
-                Node node = new Node(environment(folder, discovery, list(1, true, inService("s1", one)), SETTINGS))) {
+        try (Server discovery = discovery(); Server one = host("one");
+                Server two = host("two");
+                Node node = new Node(
+                        environment(folder, discovery, list(1, true, inService("s1", one)), SETTINGS))) {
             Message first = await(discovery.received);
             assertEquals("GET /v1/endpoints?watch=1&from=1 HTTP/1.1", first.line());
-            tell(first.socket(), list(7, false, entry("s1", one.address(), "a", "terminating"), inService("s2", two)));
+            tell(first.socket(), list(7, false, entry("s1", one.address(), "a", "terminating"),
+                    inService("s2", two)));
             awaitBody(node, "two");
             if (failure.equals("end")) {
                 first.socket().close();
@@ -150,7 +158,8 @@
                 Thread.sleep(100);
                 write(message.socket(), "1\r\n \r\n");
             }
-        }); Node node = new Node(environment(folder, discovery, list(1, true, inService("s1", one)), SETTINGS))) {
+        }); Node node = new Node(
+                        environment(folder, discovery, list(1, true, inService("s1", one)), SETTINGS))) {
             await(discovery.received);
             assertEquals("GET /v1/endpoints?watch=1&from=1 HTTP/1.1", await(discovery.received).line());
         }
@@ -160,10 +169,13 @@
         late. */
     @Test
     void listOfAnOlderRevisionIsIgnored() throws Exception {
-        try (Server discovery = discovery(); Server one = host("one"); Server two = host("two");
-                Node node = new Node(environment(folder, discovery, list(1, true, inService("s1", one)), SETTINGS))) {
+        try (Server discovery = discovery(); Server one = host("one");
+                Server two = host("two");
+                Node node = new Node(
+                        environment(folder, discovery, list(1, true, inService("s1", one)), SETTINGS))) {
             Message first = await(discovery.received);
-            tell(first.socket(), list(7, false, entry("s1", one.address(), "a", "terminating"), inService("s2", two)));
+            tell(first.socket(), list(7, false, entry("s1", one.address(), "a", "terminating"),
+                    inService("s2", two)));
             awaitBody(node, "two");
             first.socket().close();
             Message next = await(discovery.received);
@@ -182,7 +194,8 @@
     @Test
     void idleClientsThatUseUpTheDescriptorsBlockNoHostList() throws Exception {
         CountDownLatch discoveryIsBack = new CountDownLatch(1);
-        try (Server one = host("one"); Server two = host("two"); Server discovery = new Server(message -> {
+        try (Server one = host("one"); Server two = host("two");
+                Server discovery = new Server(message -> {
             discoveryIsBack.await();
             write(message.socket(), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
             tell(message.socket(), list(2, false, entry("s1", one.address(), "a", "terminating"),
@@ -262,7 +275,8 @@
         Server discovery = discovery();
         discovery.close();
         try (Server one = host("one");
-                Node node = new Node(environment(folder, discovery, list(1, true, inService("s1", one)), SETTINGS))) {
+                Node node = new Node(
+                        environment(folder, discovery, list(1, true, inService("s1", one)), SETTINGS))) {
             assertEquals("one", node.ask(read(20_000)).text());
         }
     }
@@ -273,14 +287,16 @@
     @ValueSource(ints = {256, 384, 1024})
     void clientsMayUseAThirdOfTheDescriptors(int sockets) {
         int maxConnections = Main.connectionsMost(sockets);
-        assertTrue(Main.openMost(maxConnections) >= sockets / 3, "requests " + Main.openMost(maxConnections));
+        assertTrue(Main.openMost(maxConnections) >= sockets / 3,
+                "requests " + Main.openMost(maxConnections));
         assertTrue(2 * maxConnections + 40 <= sockets, "connections " + maxConnections);
     }
 
     @Test
     void idleClientsAreEvictedAtTheBound() throws Exception {
         try (Server discovery = discovery(); Server one = host("one");
-                Node node = new Node(environment(folder, discovery, list(1, true, inService("s1", one)), SETTINGS))) {
+                Node node = new Node(
+                        environment(folder, discovery, list(1, true, inService("s1", one)), SETTINGS))) {
             Socket oldest = node.connect();
             write(oldest, read(20_000));
             assertEquals(200, Loopback.read(oldest).status());
@@ -295,7 +311,8 @@
     @Test
     void connectionsWithoutARequestAreEvictedFirst() throws Exception {
         try (Server discovery = discovery(); Server one = host("one");
-                Node node = new Node(environment(folder, discovery, list(1, true, inService("s1", one)), SETTINGS))) {
+                Node node = new Node(
+                        environment(folder, discovery, list(1, true, inService("s1", one)), SETTINGS))) {
             Socket used = node.connect();
             write(used, read(20_000));
             assertEquals(200, Loopback.read(used).status());
@@ -312,7 +329,8 @@
     @Test
     void requestBeyondTheBoundIsRefused() throws Exception {
         try (Server discovery = discovery(); Server silent = new Server(message -> { });
-                Node node = new Node(environment(folder, discovery, list(1, true, inService("s1", silent)),
+                Node node = new Node(
+                        environment(folder, discovery, list(1, true, inService("s1", silent)),
                         SETTINGS.replace("\"max_open\":20000", "\"max_open\":1")))) {
             write(node.connect(), read(60_000));
             await(silent.received);
@@ -333,7 +351,8 @@
                         write(message.socket(), answer("200 OK", "one"));
                     }
                 });
-                Node node = new Node(environment(folder, discovery, list(1, true, inService("s1", host)), SETTINGS))) {
+                Node node = new Node(
+                        environment(folder, discovery, list(1, true, inService("s1", host)), SETTINGS))) {
             Socket idle = node.connect();
             write(idle, "GET /ready HTTP/1.1\r\n\r\n");
             assertEquals(200, Loopback.read(idle).status());
@@ -373,7 +392,8 @@
 
     /** Starts the program through the command {@code before}, which runs its arguments, with {@code flags} of the
         virtual machine. */
-    private Process start(Map<String, String> environment, List<String> wrapperCommand, List<String> flags, String... arguments)
+    private Process start(Map<String, String> environment, List<String> wrapperCommand,
+            List<String> flags, String... arguments)
             throws IOException {
         // Resets SIGHUP to its default: the program would inherit it as ignored if this suite runs that way.
         ProcessBuilder builder = new ProcessBuilder("env", "--default-signal=HUP");
@@ -398,7 +418,8 @@
     void warmUpCompletesAndContactsNobody(boolean longBodies) throws Exception {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         try (Server discovery = discovery(); Server one = host("one")) {
-            Config config = Config.read(environment(folder, discovery, list(1, true, inService("s1", one)), SETTINGS));
+            Config config = Config.read(
+                    environment(folder, discovery, list(1, true, inService("s1", one)), SETTINGS));
             WarmUp.run(config, null, longBodies, Main.loop(),
                     new PrintStream(out, true, StandardCharsets.UTF_8)::println);
             assertEquals("", out.toString(StandardCharsets.UTF_8));
@@ -447,11 +468,13 @@
         its open connections, tells clients to close them, and closes idle ones at last. */
     @Test
     void successorTakesOverTheListeningSocket() throws Exception {
-        try (Server discovery = discovery(); Server one = host("one"); Server two = host("two");
+        try (Server discovery = discovery(); Server one = host("one");
+                Server two = host("two");
                 ServerSocketChannel listeningSocket = ServerSocketChannel.open()) {
             listeningSocket.bind(new InetSocketAddress("127.0.0.1", 0));
             listeningSocket.configureBlocking(false);
-            try (Node old = new Node(environment(folder, discovery, list(1, true, inService("s1", one)), SETTINGS),
+            try (Node old = new Node(
+                    environment(folder, discovery, list(1, true, inService("s1", one)), SETTINGS),
                     listeningSocket)) {
                 Socket used = old.connect();
                 Socket idle = old.connect();
@@ -481,7 +504,8 @@
     @Test
     void missingInheritedSocketEndsTheStartWithOneLine() throws Exception {
         try (Server discovery = discovery()) {
-            Map<String, String> environment = new HashMap<>(environment(folder, discovery, list(1, true), SETTINGS));
+            Map<String, String> environment = new HashMap<>(
+                    environment(folder, discovery, list(1, true), SETTINGS));
             environment.put("NODE_PASSED_SOCKET", "0");
             Process process = start(environment);
             try {
@@ -510,7 +534,8 @@
     /** Guards against a gateway that SIGHUP ends, and against one that keeps using the old address of discovery. */
     @Test
     void sighupChangesTheDiscoveryAddress() throws Exception {
-        try (Server discovery = discovery(); Server moved = discovery(); Server one = host("one")) {
+        try (Server discovery = discovery(); Server moved = discovery();
+                Server one = host("one")) {
             Process process = start(environment(folder, discovery, list(1, true, inService("s1", one)), SETTINGS));
             try {
                 Message oldWatch = await(discovery.received);
@@ -546,7 +571,8 @@
         reloads, and stops. */
     @Test
     void adminRequestsWorkFromStartToStop() throws Exception {
-        try (Server discovery = discovery(); Server moved = discovery(); Server one = host("one")) {
+        try (Server discovery = discovery(); Server moved = discovery();
+                Server one = host("one")) {
             Map<String, String> environment = new HashMap<>(
                     environment(folder, discovery, list(1, true, inService("s1", one)), SETTINGS));
             environment.put("NODE_ADMIN", "127.0.0.1:0");
@@ -587,7 +613,8 @@
                         write(message.socket(), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
                     }
                 });
-                Node node = new Node(environment(folder, discovery, list(1, true, inService("s1", one)), SETTINGS))) {
+                Node node = new Node(
+                        environment(folder, discovery, list(1, true, inService("s1", one)), SETTINGS))) {
             Message oldWatch = await(discovery.received);
             node.loop.submit(() -> node.clients.gateway().discoverAt(Loopback.at(moved))).sync();
             await(moved.received);
@@ -609,9 +636,11 @@
         address counts, also where the one between never answered. */
     @Test
     void drainIsObeyedAfterTwoDiscoveryAddressChanges() throws Exception {
-        try (Server discovery = discovery(); Server between = new Server(message -> { }); Server last = discovery();
+        try (Server discovery = discovery(); Server between = new Server(message -> { });
+                Server last = discovery();
                 Server one = host("one"); Server two = host("two");
-                Node node = new Node(environment(folder, discovery, list(1, true, inService("s1", one)), SETTINGS))) {
+                Node node = new Node(
+                        environment(folder, discovery, list(1, true, inService("s1", one)), SETTINGS))) {
             await(discovery.received);
             node.loop.submit(() -> node.clients.gateway().discoverAt(Loopback.at(between))).sync();
             node.loop.submit(() -> node.clients.gateway().discoverAt(Loopback.at(last))).sync();
@@ -633,7 +662,8 @@
     void invalidConfigurationEndsWithOneLineAndStatus2(String setting, String value, String expected) throws Exception {
         try (Server discovery = discovery()) {
             String settings = setting.equals("settings") ? SETTINGS.replace("\"balancers\":1", value) : SETTINGS;
-            Map<String, String> environment = new HashMap<>(environment(folder, discovery, list(1, true), settings));
+            Map<String, String> environment = new HashMap<>(
+                    environment(folder, discovery, list(1, true), settings));
             if (!setting.equals("settings")) {
                 environment.put(setting, value);
             }
--- a/src/test/java/mastdrift/net/HostConnectionPoolTest.java
+++ b/src/test/java/mastdrift/net/HostConnectionPoolTest.java
@@ -203,7 +203,8 @@
     @ParameterizedTest
     @ValueSource(strings = {"HTTP/1.1 200 OK~Content-Length: 1~~1", "noise", "HTTP/1.1 200 OK~Content-Length: 9~~"})
     void connectionWithDataBehindTheResponseIsNotReused(String extraData) throws Exception {
-        try (Server host = new Server(m -> write(m.socket(), answer("200 OK", "1") + extraData.replace("~", "\r\n")))) {
+        try (Server host = new Server(m -> write(m.socket(), answer("200 OK", "1")
+                + extraData.replace("~", "\r\n")))) {
             HostConnectionPool pool = poolWithHost(host);
             assertEquals(Outcome.DELIVERED, outcomeOfRequest(pool, "s1"));
             assertEquals(Outcome.DELIVERED, outcomeOfRequest(pool, "s1"));
--- a/src/test/java/mastdrift/net/LogOutputTest.java
+++ b/src/test/java/mastdrift/net/LogOutputTest.java
@@ -46,7 +46,8 @@
     }
 
     /** Starts a gateway whose discovery is down, so that it keeps logging. */
-    private Process start(String shellPrefix, String redirect, int port, int adminPort, Server host) throws IOException {
+    private Process start(String shellPrefix, String redirect, int port, int adminPort, Server host)
+            throws IOException {
         Server stoppedDiscovery = discovery();
         Map<String, String> environment = new HashMap<>(environment(folder, stoppedDiscovery,
                 list(1, true, entry("s1", host.address(), "a", "in_service")), SETTINGS));
@@ -144,7 +145,8 @@
                 awaitReady(port);
                 assertServes(port);
                 String metrics = sendRequest(adminPort, "GET /status/metrics HTTP/1.1\r\nHost: s\r\n\r\n").text();
-                long lost = Stream.of(metrics.split("\n")).filter(line -> line.startsWith("edge_node_log_lines_dropped_total "))
+                long lost = Stream.of(metrics.split("\n"))
+                        .filter(line -> line.startsWith("edge_node_log_lines_dropped_total "))
                         .mapToLong(line -> Long.parseLong(line.split(" ")[1])).sum();
                 assertTrue(lost > 0, metrics);
                 assertStopsCleanly(process);
