--- a/registry/src/main/java/mastdrift/registry/Agent.java
+++ b/registry/src/main/java/mastdrift/registry/Agent.java
@@ -32,12 +32,12 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Beside a gateway: answers its discovery at once from the list that it holds, and follows the list service for news.
-    All state is its event loop's. */
+/** Runs beside gateways: serves discovery from its own copy of the endpoint list, and watches a replica of the list
+    service for changes. Its state is confined to its event loop. */
 public final class Agent implements AutoCloseable {
 
-    /** What an agent is told: its files, where gateways call it, where the replicas are, and as which member it takes part,
-        null for none. */
+    /** Configuration of an agent: directory of its files, listen address, addresses of the replicas, and its
+        membership; null if it is no member. */
     public record Setup(Path folder, InetSocketAddress listen, List<InetSocketAddress> replicas, Membership.Setup member) { }
 
     private static final Logger LOG = LoggerFactory.getLogger(Agent.class);
@@ -45,8 +45,8 @@
     private static final int SILENCE_MILLIS = 5000;  // a replica sends an empty line every 2 s
     private static final int PAUSE_LEAST_MILLIS = 50;
     private static final int PAUSE_MOST_MILLIS = 3000;
-    private static final int ASK_MILLIS = 5000;  // where the replicas are
-    private static final int KEEP_MILLIS = 200;  // changes that come within are written once
+    private static final int ASK_MILLIS = 5000;  // how often the addresses of the replicas are looked up
+    private static final int KEEP_MILLIS = 200;  // changes within it are saved together
 
     private final Setup setup;
     private final Clock clock;
@@ -62,7 +62,7 @@
     private final Path addressFile;
     private final HttpClient client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1)
             .connectTimeout(Duration.ofMillis(DIAL_MILLIS)).build();
-    private List<InetSocketAddress> replicas;  // those that the service names first, then those that were configured
+    private List<InetSocketAddress> replicas;  // those named by the service, then the configured ones
     private final Gauges gauges = new Gauges();
     private final Membership membership;  // null where this agent is no member
     private LineStreamClient follow;
@@ -77,8 +77,8 @@
     private long changes;
     private long unkept;
 
-    /** Serves what its folder holds at once, with no replica in reach too; throws IOException for an address that can't be
-        listened on. */
+    /** Starts the agent; it serves the list saved in its folder even if no replica can be reached. Throws IOException
+        if the address can't be bound. */
     public Agent(Setup setup, Clock clock, Disk disk) throws IOException {
         this.setup = setup;
         this.clock = clock;
@@ -129,7 +129,8 @@
         replicas = List.copyOf(all);
     }
 
-    /** Where the replicas are now: a service that moves one after the other is followed, also over a start of this agent. */
+    /** Asks for the current addresses of the replicas, so that the agent follows replicas that move one at a time. They
+        are saved for the next start. */
     private void ask() {
         if (!heard || source.equals("file") || source.equals("none")) {
             return;
@@ -201,7 +202,7 @@
         }
     }
 
-    /** To the next replica, after a pause. */
+    /** Connects to the next replica after a backoff. */
     private void turn(InetSocketAddress at, String cause) {
         long pause = backoff.next();
         replica = (replica + 1) % replicas.size();
@@ -246,7 +247,8 @@
         }
     }
 
-    /** What staff see; the age counts from the last line of a replica, in seconds, and is null before the first. */
+    /** Fields of {@code GET /v1/agent}; the age is in seconds since the last line of a replica, null before the first.
+        */
     private Map<String, Object> status() {
         Map<String, Object> status = new LinkedHashMap<>();
         status.put("rev", list.rev());
--- a/registry/src/main/java/mastdrift/registry/AgentList.java
+++ b/registry/src/main/java/mastdrift/registry/AgentList.java
@@ -7,11 +7,11 @@
 import java.util.Set;
 import mastdrift.common.Json;
 
-/** The list that an agent holds, and what it lets in: nothing older than it has, no empty list in place of a full one, and
-    nothing that is no list. Not for more than one thread at a time. */
+/** An agent's copy of the endpoint list. Refuses updates that are older than it, malformed, or an empty list in place
+    of one with entries. Not thread-safe. */
 final class AgentList {
 
-    /** What became of a line. */
+    /** Result of applying a line. */
     enum Taken { NEWER, SAME, OLDER, EMPTY, SPOILT }
 
     private final Listing listing = new Listing();
@@ -28,7 +28,7 @@
         return listing.since(from);
     }
 
-    /** Takes a line of discovery, if it may. */
+    /** Applies a discovery line unless it has to be refused. */
     Taken take(String line) {
         long rev;
         boolean all;
@@ -69,7 +69,7 @@
         return Taken.NEWER;
     }
 
-    /** What goes to its file. */
+    /** The list as it is saved to a file. */
     byte[] bytes() {
         return listing.whole().text().getBytes(StandardCharsets.UTF_8);
     }
--- a/registry/src/main/java/mastdrift/registry/Catalogue.java
+++ b/registry/src/main/java/mastdrift/registry/Catalogue.java
@@ -12,16 +12,16 @@
 import mastdrift.common.Json;
 
 /**
- * The state that replicas agree on: entries, revisions and leases, changed by commands of the log alone and in its order, so
- * that it is the same on all. It reads no clock: time is what the leader's ticks in the log say, in milliseconds since the
- * first of them.
+ * The replicated state: entries with revisions and leases, duties, membership and zone evacuations. It changes only
+ * through commands applied in log order, so it is the same on all replicas. It reads no clock: log time is the sum of
+ * the leader's ticks, in milliseconds since the first.
  */
 public class Catalogue {
 
-    /** What came of a command: the answer for its caller, and news for staff. */
+    /** Result of a command: an HTTP status and body for the caller, and lines to log. */
     public record Applied(int status, Map<String, Object> answer, List<String> news) {
 
-        /** As it travels through the log's answers. */
+        /** The form in which Raft replies carry it. */
         String text() {
             Map<String, Object> all = new LinkedHashMap<>();
             all.put("status", status);
@@ -30,19 +30,21 @@
         }
     }
 
-    /** How an entry is kept: for so long without renewal (0: for ever), until when, and whether that has passed and it was
-        kept all the same. */
+    /** Lease of an entry: its duration (0: it never expires), its expiry in log time, and whether the entry was kept
+        although the lease expired. */
     private record Lease(long span, long until, boolean stale) { }
 
-    /** Entries of a zone that left by their leases, and when. */
+    /** An entry of a zone that was removed because its lease expired, with the log time of the removal. */
     private record Lapsed(long at) { }
 
-    /** A tick counts for no more: a leader that was frozen does not let leases lapse by what it slept through. */
+    /** Longest time that one tick may add, so that a leader's pause doesn't expire leases. */
     static final long TICK_MOST = 2000;
-    /** So long an entry that is removed in service stays as {@code terminating}. */
+    /** How long an entry that is removed while in service stays listed as {@code terminating}. */
+
     static final long LEAVING_MILLIS = 3000;
+    /** Largest part of a zone whose entries may be removed by expiry within one lease duration. */
     static final double LAPSE_SHARE = 0.15;
-    /** More than a service changes between two backups. */
+    /** Added to the revision on restore; more changes than a service makes between two backups. */
     static final long RESTORED_JUMP = 1_000_000;
     private static final int FORMAT = 1;
 
@@ -51,14 +53,14 @@
     private final Members processes = new Members(this::mark);
     private final Evacuations evacuations = new Evacuations(listing, this::nextRevision);
     private final Map<String, Lease> leases = new HashMap<>();
-    private final Map<String, Deque<Lapsed>> lapsed = new HashMap<>();  // by zone, the last term's
-    private final Map<String, Long> leaving = new TreeMap<>();  // when those that were removed are gone
+    private final Map<String, Deque<Lapsed>> lapsed = new HashMap<>();  // by zone, within the last lease duration
+    private final Map<String, Long> leaving = new TreeMap<>();  // log time at which a draining entry is removed
     private final Map<String, Map<String, Object>> members = new TreeMap<>();
     private long time;
     private long reign;
     private double lapseShare = LAPSE_SHARE;
 
-    /** Commands as they stand in the log. */
+    /** Builds a command as it is stored in the log; {@code facts} are keys and values in turn. */
     public static Map<String, Object> command(String name, Object... facts) {
         Map<String, Object> command = new LinkedHashMap<>();
         command.put("do", name);
@@ -68,7 +70,7 @@
         return command;
     }
 
-    /** Carries out the next command of the log. What is wrong with one is its answer; nothing is thrown. */
+    /** Applies the next command of the log. An invalid command gets an error result; nothing is thrown. */
     public synchronized Applied apply(Map<String, Object> command) {
         List<String> news = new ArrayList<>();
         try {
@@ -101,7 +103,7 @@
         return command.get(name) instanceof Number number ? number.longValue() : otherwise;
     }
 
-    /** A read takes a place in the log, behind every write that was acknowledged before it. */
+    /** Reads in log order, so it sees every write acknowledged before it. */
     private Applied read(Map<String, Object> command, List<String> news) {
         Map<String, Object> found = switch (Objects.toString(command.get("what"))) {
             case "entry" -> entry(Objects.toString(command.get("name")));
@@ -132,24 +134,24 @@
         return new Applied(200, answer, news);
     }
 
-    /** A write on entries may name the duty for which it is made, and the token: once that is not the newest, it does
-        nothing, however late it comes. */
+    /** Whether a write carries a fencing token that is no longer the newest of its duty; such a write has no effect. */
     protected boolean fenced(Map<String, Object> command) {
         return command.containsKey("token") && List.of("put", "drain", "remove", "evacuate", "return").contains(command.get("do"))
                 && !duties.current(Objects.toString(command.get("duty")), number(command, "token", 0));
     }
 
-    /** Reports that it takes of so many watchers, where {@link Members#WATCHERS} would need {@code of}. */
+    /** Scales a threshold meant for {@link MembershipState#WATCHERS_PER_MEMBER} watchers to the actual number of
+        watchers. */
     protected int mark(int of, int watching) {
         return Math.max(1, (int) Math.ceil((double) of * watching / Members.WATCHERS));
     }
 
-    /** The revision of the next change. */
+    /** Returns the revision for the next change. */
     protected long nextRevision() {
         return listing.rev() + 1;
     }
 
-    /** Whether a write that asks for a revision meets it; {@code if_rev} 0 asks for no entry at all. */
+    /** Whether the optional {@code if_rev} of a write matches the entry; 0 requires that there is no entry. */
     private boolean meets(Map<String, Object> command, String uid) {
         return !command.containsKey("if_rev") || number(command, "if_rev", 0) == listing.revision(uid);
     }
@@ -204,7 +206,7 @@
         return yes(uid, news);
     }
 
-    /** One in service leaves by {@code terminating}, unless the caller says {@code now}. */
+    /** Removes an entry; one in service is listed as {@code terminating} first, unless {@code now} is set. */
     private Applied remove(Map<String, Object> command, List<String> news) {
         String uid = Objects.toString(command.get("uid"));
         if (listing.get(uid) == null) {
@@ -229,7 +231,7 @@
         listing.remove(uid, nextRevision());
     }
 
-    /** A leader has come: it can't know for how long there was none, so every lease has its full term again. */
+    /** A new leader took over. How long there was none is unknown, so every lease gets its full duration again. */
     private Applied reign(Map<String, Object> command, List<String> news) {
         reign = Math.max(reign, number(command, "term", 0));
         lapseShare = command.get("lapse_share") instanceof Number share ? share.doubleValue() : lapseShare;
@@ -238,8 +240,8 @@
         return new Applied(200, Map.of("term", reign), news);
     }
 
-    /** A service that has no entries takes over those of a backup. Gateways may have seen more since it was made: revisions go
-        on far beyond, and everybody is told the whole list. */
+    /** Restores a backup into a service without entries. Gateways may have seen revisions later than the backup, so
+        revisions continue far beyond it and every watcher gets the full list. */
     private Applied fromBackup(Map<?, ?> backup, List<String> news) {
         if (listing.size() > 0) {
             return no(409, "the list is not empty: a backup is restored into a new service", news);
@@ -265,7 +267,7 @@
         return new Applied(200, Map.of("rev", jumped, "entries", listing.size()), news);
     }
 
-    /** A replica's folder is the one that is counted under its name, with that mark. */
+    /** Records the id and generation of a replica's folder under the replica's name. */
     private Applied member(Map<String, Object> command, List<String> news) {
         String name = Objects.toString(command.get("name"));
         Map<String, Object> next = Map.of("id", Objects.toString(command.get("id")), "mark", number(command, "mark", 0),
@@ -277,7 +279,7 @@
         return new Applied(200, Map.of("name", name), news);
     }
 
-    /** What is known of replicas' folders, by their names. */
+    /** The recorded id, generation and HTTP address of each replica, by name. */
     public synchronized Map<String, Object> members() {
         return new TreeMap<>(members);
     }
@@ -302,13 +304,13 @@
         return new Applied(200, Map.of("time", time), news);
     }
 
-    /** Whether a lease that runs until then is over. */
+    /** Whether a lease with that expiry has expired. */
     protected boolean lapses(String uid, long until) {
         return until <= time;
     }
 
-    /** Those whose leases are over go, unless within one term too large a part of the zone would: then it is more likely
-        that they can't reach us than that they are dead, and they stay, marked. */
+    /** Removes entries with expired leases, unless too large a part of the zone would go within one lease duration:
+        then the hosts more likely can't reach the service than are dead, and the entries stay, marked as stale. */
     private void lapse(String zone, List<String> uids, List<String> news) {
         uids.sort(null);
         long term = uids.stream().mapToLong(uid -> leases.get(uid).span).max().orElse(0);
@@ -327,7 +329,7 @@
             } else if (!lease.stale) {
                 leases.put(uid, new Lease(lease.span, lease.until, true));
                 news.add("stale " + uid + " of zone " + zone + ": " + uids.size() + " of " + size
-                        + " would lapse within one term; they stay");
+                        + " would expire within one lease duration; they stay");
             }
         }
     }
@@ -340,32 +342,32 @@
         return listing.size();
     }
 
-    /** Of the leases: how many are over and were kept all the same. */
+    /** Number of entries that were kept although their leases expired. */
     public synchronized long stale() {
         return leases.values().stream().filter(Lease::stale).count();
     }
 
-    /** A line of discovery with what changed after that revision, 0 for all. */
+    /** Discovery line with the changes after a revision; 0 for the full list. */
     public synchronized Listing.Line since(long from) {
         return listing.since(from);
     }
 
-    /** Of the changes of duties. */
+    /** Revision of the duties. */
     public synchronized long dutiesRev() {
         return duties.rev();
     }
 
-    /** A line with the duties that changed after that revision, 0 for all. */
+    /** Line with the duties that changed after a revision; 0 for all. */
     public synchronized Listing.Line dutiesSince(long from) {
         return duties.since(from);
     }
 
-    /** A duty as it stands; null where nobody ever asked for it. */
+    /** Describes a duty; null if it was never acquired or ordered. */
     public synchronized Map<String, Object> duty(String name) {
         return duties.shown(name);
     }
 
-    /** What staff and writers see of an entry; null where there is none. */
+    /** Describes an entry with its revision and lease; null if there is none. */
     public synchronized Map<String, Object> entry(String uid) {
         Entry entry = listing.get(uid);
         if (entry == null) {
@@ -379,12 +381,12 @@
         return shown;
     }
 
-    /** All of them, likewise. */
+    /** Describes all entries. */
     public synchronized List<Map<String, Object>> shown() {
         return listing.entries().stream().map(entry -> entry(entry.uid())).toList();
     }
 
-    /** Zones that are out, or on their way. */
+    /** Number of zones that are evacuated, being evacuated or returning. */
     public synchronized int zonesMoved() {
         return evacuations.count();
     }
@@ -397,12 +399,12 @@
         return processes.present().size();
     }
 
-    /** The newest view that this replica has; its number alone for one who has it already. */
+    /** This replica's newest membership view; only its number if the caller has that one already. */
     public synchronized Map<String, Object> view(long after) {
         return processes.view() == after ? Map.of("view", after) : processes.shown();
     }
 
-    /** All state, for a snapshot. */
+    /** The whole state, for snapshots and backups. */
     public synchronized Map<String, Object> state() {
         Map<String, Object> state = new LinkedHashMap<>();
         state.put("format", FORMAT);
@@ -438,8 +440,8 @@
         return state;
     }
 
-    /** Takes over what {@link #state} gave, in place of all that there is. Throws IllegalArgumentException for anything
-        else, and then nothing has changed. */
+    /** Replaces the whole state by one that {@link #state} returned. Throws IllegalArgumentException for anything else
+        and then changes nothing. */
     public synchronized void restore(Map<String, Object> state) {
         if (number(state, "format", 0) != FORMAT || !(state.get("entries") instanceof List<?> entries)
                 || !(state.get("left") instanceof List<?> left) || !(state.get("leaving") instanceof Map<?, ?> going)
--- a/registry/src/main/java/mastdrift/registry/Commands.java
+++ b/registry/src/main/java/mastdrift/registry/Commands.java
@@ -26,7 +26,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** What the springspar command has for the list service. Exit status: 0 yes, 1 the service says no, 2 misuse, 3 nobody
+/** Commands for the list service. Exit status: 0 success, 1 refused by the service, 2 wrong usage, 3 no replica
     answers. */
 public final class Commands {
 
@@ -36,33 +36,33 @@
 
     private Commands() { }
 
-    /** Starts a replica. */
+    /** Starts a replica of the list service. */
     @Command(name = "registry", mixinStandardHelpOptions = true,
-            description = "Starts a replica of the list service; alone, with a folder, it is the whole service.",
+            description = "Starts a replica of the list service; without peers it is the whole service.",
             subcommands = {RegistryStatus.class, Members.class, Backup.class, Restore.class})
     public static final class Registry implements Callable<Integer> {
 
-        @Option(names = "--name", defaultValue = "registry-1", description = "this replica (default: ${DEFAULT-VALUE})")
+        @Option(names = "--name", defaultValue = "registry-1", description = "name of this replica (default: ${DEFAULT-VALUE})")
         private String name;
 
-        @Option(names = "--folder", paramLabel = "DIR", description = "where its files are; needed")
+        @Option(names = "--folder", paramLabel = "DIR", description = "directory of its files; required")
         private Path folder;
 
         @Option(names = "--listen", paramLabel = "ADDRESS:PORT", defaultValue = "127.0.0.1:9400",
-                description = "where it is called (default: ${DEFAULT-VALUE})")
+                description = "address of the HTTP API (default: ${DEFAULT-VALUE})")
         private String listen;
 
         @Option(names = "--raft", paramLabel = "ADDRESS:PORT", defaultValue = "127.0.0.1:9401",
-                description = "where it listens for other replicas (default: ${DEFAULT-VALUE})")
+                description = "address for other replicas (default: ${DEFAULT-VALUE})")
         private String raft;
 
         @Option(names = "--peer", paramLabel = "NAME=RAFT/HTTP",
-                description = "a replica and where others reach it, by its log and by calls; once for each, this one too. "
-                        + "None: it is alone")
+                description = "a replica with its Raft and HTTP addresses; repeat for each replica, this one included "
+                        + "(default: a single replica)")
         private Map<String, String> peers = new LinkedHashMap<>();
 
         @Option(names = "--watches", paramLabel = "N", defaultValue = "" + Feed.WATCHES_MOST,
-                description = "so many watch at most (default: ${DEFAULT-VALUE})")
+                description = "maximum number of open watches (default: ${DEFAULT-VALUE})")
         private int watches;
 
         @Spec
@@ -72,13 +72,13 @@
         public Integer call() throws Exception {
             List<String> faults = new ArrayList<>();
             if (folder == null) {
-                faults.add("--folder is needed");
+                faults.add("--folder is required");
             }
             if (!peers.isEmpty() && !peers.containsKey(name)) {
-                faults.add("--peer: " + name + " itself is missing");
+                faults.add("--peer: " + name + ", this replica, is missing");
             }
             if (peers.size() % 2 == 0 && !peers.isEmpty()) {
-                faults.add("--peer: an odd number of replicas is needed, not " + peers.size());
+                faults.add("--peer: expected an odd number of replicas, not " + peers.size());
             }
             if (!faults.isEmpty()) {
                 throw new CommandLine.ParameterException(spec.commandLine(), String.join(System.lineSeparator(), faults));
@@ -104,28 +104,28 @@
 
     /** Starts an agent. */
     @Command(name = "agent", mixinStandardHelpOptions = true,
-            description = "Starts an agent beside a gateway: discovery for it, from the list service.")
+            description = "Starts an agent, which serves discovery to gateways from the list service.")
     public static final class StartAgent implements Callable<Integer> {
 
-        @Option(names = "--folder", paramLabel = "DIR", required = true, description = "where it keeps the last list")
+        @Option(names = "--folder", paramLabel = "DIR", required = true, description = "directory in which the last list is saved")
         private Path folder;
 
         @Option(names = "--listen", paramLabel = "ADDRESS:PORT", defaultValue = "127.0.0.1:8500",
-                description = "where gateways call it (default: ${DEFAULT-VALUE})")
+                description = "address that gateways call (default: ${DEFAULT-VALUE})")
         private String listen;
 
-        @Option(names = "--member", paramLabel = "NAME", description = "takes part in the membership under that name")
+        @Option(names = "--member", paramLabel = "NAME", description = "joins the membership under this name")
         private String name;
 
-        @Option(names = "--zone", defaultValue = "", description = "its zone, as a member")
+        @Option(names = "--zone", defaultValue = "", description = "the member's zone")
         private String zone;
 
         @Option(names = "--address", paramLabel = "ADDRESS:PORT",
-                description = "where other members reach it (default: what --listen says)")
+                description = "address that other members call (default: that of --listen)")
         private String address;
 
         @Option(names = "--registry", paramLabel = "ADDRESS:PORT", split = ",", defaultValue = "127.0.0.1:9400",
-                description = "the replicas (default: ${DEFAULT-VALUE})")
+                description = "addresses of the replicas (default: ${DEFAULT-VALUE})")
         private List<String> registry;
 
         @Override
@@ -141,7 +141,7 @@
         }
     }
 
-    /** Nobody answered, or not in time. */
+    /** Thrown when no replica answers in time. */
     static final class NoAnswer extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -150,22 +150,22 @@
         }
     }
 
-    /** What all calls take. */
+    /** Options that all commands share, and the request to the service. */
     static final class Calling {
 
         private static final Duration WITHIN = Duration.ofSeconds(4);
 
         @Option(names = "--registry", paramLabel = "ADDRESS:PORT", split = ",", defaultValue = "127.0.0.1:9400",
-                description = "the replicas, asked in turn (default: ${DEFAULT-VALUE})")
+                description = "addresses of the replicas, tried in turn (default: ${DEFAULT-VALUE})")
         private List<String> registry;
 
-        @Option(names = "--json", description = "as JSON, for scripts")
+        @Option(names = "--json", description = "print JSON")
         private boolean json;
 
         @Spec(Spec.Target.MIXEE)
         private CommandSpec spec;
 
-        /** An answer: from whom, and what. */
+        /** Response of a replica. */
         record Answer(int status, Map<String, Object> body) {
             boolean yes() {
                 return status / 100 == 2;
@@ -192,7 +192,8 @@
             throw new NoAnswer("no replica answers" + causes);
         }
 
-        /** The object for scripts, else the line; the service's no on standard error. */
+        /** Prints the response as JSON if asked for, else the line, or the error on standard error; returns the exit
+            status. */
         int tell(Answer answer, String line) {
             if (json) {
                 spec.commandLine().getOut().println(Json.encode(answer.body()));
@@ -205,7 +206,7 @@
         }
     }
 
-    /** Runs a call; nobody's answer is a status of its own. */
+    /** Base of commands that call the service; maps failures to exit statuses. */
     abstract static class Asking implements Callable<Integer> {
 
         @Mixin
@@ -229,7 +230,7 @@
         }
     }
 
-    @Command(name = "status", mixinStandardHelpOptions = true, description = "Tells who leads and which revision there is.")
+    @Command(name = "status", mixinStandardHelpOptions = true, description = "Shows the leader, the revision and the number of entries.")
     static final class RegistryStatus extends Asking {
         @Override
         int ask(Calling calling) throws NoAnswer, InterruptedException {
@@ -242,7 +243,7 @@
     }
 
     @Command(name = "members", mixinStandardHelpOptions = true,
-            description = "The replicas that are counted, by the folders that they have now.")
+            description = "Lists the replicas with their current ids.")
     static final class Members extends Asking {
         @Override
         int ask(Calling calling) throws NoAnswer, InterruptedException {
@@ -259,7 +260,7 @@
         }
     }
 
-    @Command(name = "backup", mixinStandardHelpOptions = true, description = "Writes all entries and leases to a file.")
+    @Command(name = "backup", mixinStandardHelpOptions = true, description = "Writes the whole state to a file.")
     static final class Backup extends Asking {
 
         @Parameters(index = "0", paramLabel = "FILE")
@@ -280,7 +281,7 @@
     }
 
     @Command(name = "restore", mixinStandardHelpOptions = true,
-            description = "Puts what a backup holds into a service that has no entries; revisions go on far beyond it.")
+            description = "Restores a backup into a service that has no entries; revisions continue far beyond it.")
     static final class Restore extends Asking {
 
         @Parameters(index = "0", paramLabel = "FILE")
@@ -303,7 +304,7 @@
         }
     }
 
-    /** The list and its entries. */
+    /** Commands for the endpoint list. */
     @Command(name = "endpoints", mixinStandardHelpOptions = true, description = "The list of hosts and its entries.",
             subcommands = {ListAll.class, Watch.class, Put.class, Drain.class, Remove.class})
     public static final class Endpoints implements Runnable {
@@ -317,7 +318,7 @@
         }
     }
 
-    @Command(name = "list", mixinStandardHelpOptions = true, description = "All entries, a line each.")
+    @Command(name = "list", mixinStandardHelpOptions = true, description = "Lists all entries, one per line.")
     static final class ListAll extends Asking {
         @Override
         int ask(Calling calling) throws NoAnswer, InterruptedException {
@@ -335,14 +336,14 @@
         }
     }
 
-    @Command(name = "watch", mixinStandardHelpOptions = true, description = "Each change as it comes, a line of JSON each.")
+    @Command(name = "watch", mixinStandardHelpOptions = true, description = "Prints each change as a line of JSON.")
     static final class Watch extends Asking {
 
         @Option(names = "--from", paramLabel = "REVISION", defaultValue = "0",
-                description = "what came after it (default: all, and then what changes)")
+                description = "only changes after it (default: the full list first)")
         private long from;
 
-        @Option(names = "--lines", paramLabel = "N", defaultValue = "0", description = "end after so many (default: never)")
+        @Option(names = "--lines", paramLabel = "N", defaultValue = "0", description = "end after so many lines (default: never)")
         private int lines;
 
         @Override
@@ -361,7 +362,7 @@
         }
     }
 
-    @Command(name = "put", mixinStandardHelpOptions = true, description = "Puts a host on the list, or changes its entry.")
+    @Command(name = "put", mixinStandardHelpOptions = true, description = "Adds a host to the list, or changes its entry.")
     static final class Put extends Asking {
 
         @Parameters(index = "0", paramLabel = "UID")
@@ -370,20 +371,20 @@
         @Parameters(index = "1", paramLabel = "ADDRESS:PORT")
         private String endpoint;
 
-        @Option(names = "--zone", defaultValue = "", description = "its zone")
+        @Option(names = "--zone", defaultValue = "", description = "zone of the host")
         private String zone;
 
-        @Option(names = "--model", defaultValue = "std", description = "its kind (default: ${DEFAULT-VALUE})")
+        @Option(names = "--model", defaultValue = "std", description = "machine type (default: ${DEFAULT-VALUE})")
         private String model;
 
-        @Option(names = "--capacity", defaultValue = "1", description = "its weight (default: ${DEFAULT-VALUE})")
+        @Option(names = "--capacity", defaultValue = "1", description = "relative capacity (default: ${DEFAULT-VALUE})")
         private double capacity;
 
         @Option(names = "--lease-ms", defaultValue = "0",
-                description = "it goes if it is not renewed for so long (default: never)")
+                description = "removed if not renewed for so long (default: never)")
         private long lease;
 
-        @Option(names = "--if-rev", paramLabel = "REVISION", description = "only if that is its revision; 0: only if it is new")
+        @Option(names = "--if-rev", paramLabel = "REVISION", description = "only if the entry has this revision; 0: only if it is new")
         private Long revision;
 
         @Override
@@ -400,7 +401,7 @@
         }
     }
 
-    @Command(name = "drain", mixinStandardHelpOptions = true, description = "Gives a host nothing new.")
+    @Command(name = "drain", mixinStandardHelpOptions = true, description = "Drains a host: it gets no new requests.")
     static final class Drain extends Asking {
 
         @Parameters(index = "0", paramLabel = "UID")
@@ -414,13 +415,13 @@
     }
 
     @Command(name = "remove", mixinStandardHelpOptions = true,
-            description = "Takes a host off the list: by a drain of 3 s, unless --now is given.")
+            description = "Removes a host from the list, after a drain of 3 s unless --now is given.")
     static final class Remove extends Asking {
 
         @Parameters(index = "0", paramLabel = "UID")
         private String uid;
 
-        @Option(names = "--now", description = "at once, without a drain")
+        @Option(names = "--now", description = "remove at once, without a drain")
         private boolean now;
 
         @Override
--- a/registry/src/main/java/mastdrift/registry/Detector.java
+++ b/registry/src/main/java/mastdrift/registry/Detector.java
@@ -9,17 +9,16 @@
 import java.util.stream.Collectors;
 
 /**
- * What one process makes of the members that it watches: whom it should call, and whom it does not hear. Decides alone, with no
- * socket and no clock of its own, so that the same code runs in simulated time and in a process. Times are microseconds of one
- * monotonic clock.
+ * Failure detector of one process: which members to call, and which of them don't answer. Has no sockets and no clock,
+ * so the same code runs in simulated time and in production. Times are microseconds of one monotonic clock.
  */
 public class Detector {
 
-    /** Whom a watcher does not hear, and whether it hears nobody: then it speaks of itself alone. */
+    /** The watched members that don't answer, and whether none does, which points to a fault of the watcher itself. */
     record Opinion(Set<String> silent, boolean deaf) { }
 
-    private static final int FEW = 2;  // of so few silent ones, all may be
-    private static final int PAUSES = 3;  // without a turn: this process was stopped itself
+    private static final int FEW = 2;  // with so few subjects, all of them may be down
+    private static final int PAUSES = 3;  // after more, this process itself was paused
 
     private final String name;
     private final long every;
@@ -28,7 +27,7 @@
     private long view = -1;
     private long turnedAt = -1;
 
-    /** {@code every} is the pause between two calls of the same member. */
+    /** {@code callInterval} is the time between two calls of the same member. */
     public Detector(String name, long every) {
         this.name = name;
         this.every = every;
@@ -38,7 +37,7 @@
         return view;
     }
 
-    /** Takes over a newer view; an older one is passed over. True if it is newer. */
+    /** Adopts a view if it is newer than the present one; returns whether it was. */
     boolean take(long now, long number, Collection<Members.Member> present) {
         if (number <= view) {
             return false;
@@ -53,12 +52,13 @@
         return true;
     }
 
-    /** The member of that name in the present view; null where it is not in it. */
+    /** The member of a name in the current view; null if there is none. */
     Members.Member member(String of) {
         return members.get(of);
     }
 
-    /** Whom to call now. A process that was stopped for a while begins anew: what it did not hear meanwhile says nothing. */
+    /** Starts a round and returns the members to call. After a pause of this process, silence is measured from now on,
+        as answers missed meanwhile mean nothing. */
     Set<String> turn(long now) {
         if (turnedAt >= 0 && now - turnedAt > PAUSES * every) {
             subjects.values().forEach(suspicion -> suspicion.startedAnew(now));
@@ -67,7 +67,7 @@
         return new TreeSet<>(subjects.keySet());
     }
 
-    /** It has answered. */
+    /** A member has answered. */
     void heard(long now, String subject) {
         Suspicion suspicion = subjects.get(subject);
         if (suspicion != null) {
@@ -75,7 +75,7 @@
         }
     }
 
-    /** Whether a subject of that suspicion, which has said nothing for so long, counts as silent. */
+    /** Whether a member with that phi, silent for that time, counts as silent. */
     protected boolean silent(double phi, long quiet) {
         return phi > Suspicion.SILENT;
     }
@@ -90,7 +90,7 @@
         return new Opinion(silent, silent.size() > FEW && silent.size() == subjects.size());
     }
 
-    /** How suspect each subject is, for staff. */
+    /** Phi of each watched member, rounded, for status output. */
     Map<String, Double> phi(long now) {
         Map<String, Double> all = new TreeMap<>();
         subjects.forEach((subject, suspicion) -> all.put(subject, Math.round(10 * Math.min(99, suspicion.phi(now))) / 10.0));
--- a/registry/src/main/java/mastdrift/registry/Duties.java
+++ b/registry/src/main/java/mastdrift/registry/Duties.java
@@ -9,15 +9,15 @@
 import mastdrift.common.Json;
 
 /**
- * Work that one process does at a time: who holds it, until when by the log's time, who waits, and how far the work is. A
- * holder's token grows with every grant, over all duties, and whatever has a token of a duty is refused once a newer one was
- * granted. Part of {@link Catalogue}, under whose lock it is.
+ * The duties: work that one process at a time does under a lease. Holds for each duty the holder, the lease's expiry in
+ * log time, the queue of candidates and the state of the work. Every grant gets a fencing token, which grows over all
+ * duties; a request with a duty's older token is refused. Part of {@link RegistryState} and guarded by its lock.
  */
 final class Duties {
 
-    /** Steps that were recorded are remembered by their ids, so many of each duty. */
+    /** Number of recorded step ids that are kept for each duty. */
     static final int STEPS_KEPT = 1000;
-    /** And what staff ordered. */
+    /** Number of operators' orders that are kept for each duty. */
     static final int ORDERS_KEPT = 20;
 
     private static final class Duty {
@@ -26,7 +26,7 @@
         private long span;
         private long until;
         private long rev;
-        private final Map<String, Long> waiting = new LinkedHashMap<>();  // in the order they came, each until when
+        private final Map<String, Long> waiting = new LinkedHashMap<>();  // candidates in order of arrival, with the expiry of their place
         private Map<String, Object> state = new LinkedHashMap<>();
         private final List<String> steps = new ArrayList<>();
         private final List<Map<String, Object>> orders = new ArrayList<>();
@@ -41,13 +41,13 @@
         return rev;
     }
 
-    /** Tells whether that token may still act for the duty. */
+    /** Whether a token is still the current one of a duty that is held. */
     boolean current(String name, long token) {
         Duty duty = duties.get(name);
         return duty != null && duty.token == token && duty.holder != null;
     }
 
-    /** Carries out a command on a duty; null where it is none. */
+    /** Applies a command on a duty; returns null for other commands. */
     Catalogue.Applied apply(Map<String, Object> command, long time, List<String> news) {
         String name = Objects.toString(command.get("duty"));
         String who = Objects.toString(command.get("who"));
@@ -94,7 +94,8 @@
         return duty != null && who.equals(duty.holder) && duty.token == token;
     }
 
-    /** One who holds it already is told its token again; one who waits keeps its place. */
+    /** Grants the duty or queues the candidate; the holder gets its token again, a waiting candidate keeps its place.
+        */
     private Catalogue.Applied acquire(String name, String who, long span, long time, List<String> news) {
         if (span <= 0 || who.isBlank() || name.isBlank()) {
             throw new IllegalArgumentException("acquire needs duty, who and a span in milliseconds");
@@ -102,7 +103,7 @@
         Duty duty = duties.computeIfAbsent(name, n -> new Duty());
         if (!who.equals(duty.holder)) {
             duty.span = duty.holder == null ? span : duty.span;
-            duty.waiting.put(who, time + span);  // a place that is kept is not moved
+            duty.waiting.put(who, time + span);  // a candidate that waits already keeps its place
             if (duty.holder == null) {
                 next(name, duty, time, news);
             }
@@ -110,7 +111,7 @@
         return told(name, duty, who, news);
     }
 
-    /** The eldest who still waits has it now; nobody where none does. */
+    /** Grants the duty to the first candidate that still waits; to nobody if there is none. */
     private void next(String name, Duty duty, long time, List<String> news) {
         duty.waiting.values().removeIf(until -> until <= time);
         duty.holder = null;
@@ -124,7 +125,8 @@
         }
     }
 
-    /** What staff want of whoever holds the duty, now or later; numbered, and never two of one id. */
+    /** Adds an operator's order to the present or next holder; orders are numbered, and repeating an id adds nothing.
+        */
     private Catalogue.Applied order(String name, Map<String, Object> command, List<String> news) {
         if (!(command.get("order") instanceof Map<?, ?> given) || !(given.get("id") instanceof String id)) {
             throw new IllegalArgumentException("an order needs an id");
@@ -147,7 +149,7 @@
         return new Catalogue.Applied(200, Map.of("duty", name, "number", duty.ordered), news);
     }
 
-    /** A step's id is recorded once; recorded again by whoever holds the duty it changes nothing. */
+    /** Records a step and the state after it; a step id that is recorded already changes nothing. */
     private Catalogue.Applied record(String name, Duty duty, String who, Map<String, Object> command, List<String> news) {
         String step = Objects.toString(command.get("step"), null);
         boolean again = step != null && duty.steps.contains(step);
@@ -184,7 +186,7 @@
         return new Catalogue.Applied(409, answer, news);
     }
 
-    /** Time has gone on: what is not renewed goes to the next who waits. */
+    /** Passes duties with expired leases on to the next candidate. */
     void tick(long time, List<String> news) {
         duties.forEach((name, duty) -> {
             if (duty.holder != null && duty.until <= time) {
@@ -194,7 +196,7 @@
         });
     }
 
-    /** Every lease and every place has its full term again. */
+    /** Gives every lease and every place in a queue its full duration again. */
     void reign(long time) {
         for (Duty duty : duties.values()) {
             duty.until = time + duty.span;
@@ -202,7 +204,7 @@
         }
     }
 
-    /** As callers see one; null where nobody ever asked for it. */
+    /** Describes a duty; null if it was never acquired or ordered. */
     Map<String, Object> shown(String name) {
         Duty duty = duties.get(name);
         if (duty == null) {
@@ -220,7 +222,7 @@
         return shown;
     }
 
-    /** A line with all duties that changed after that revision. */
+    /** Line with all duties that changed after a revision. */
     Listing.Line since(long from) {
         List<Map<String, Object>> news = duties.entrySet().stream().filter(each -> each.getValue().rev > from)
                 .map(each -> shown(each.getKey())).toList();
@@ -244,7 +246,7 @@
         return all;
     }
 
-    /** What {@link #state} gave; null for a snapshot from before there were duties. */
+    /** Restores what {@link #state} returned; null for a snapshot from before duties existed. */
     void restore(Map<?, ?> state) {
         duties.clear();
         tokens = 0;
--- a/registry/src/main/java/mastdrift/registry/DutyCommands.java
+++ b/registry/src/main/java/mastdrift/registry/DutyCommands.java
@@ -21,20 +21,20 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Duties that one process holds, and rolls, as the springspar command has them. */
+/** Commands for duties and for rolling restarts. */
 public final class DutyCommands {
 
-    /** The duty of those who conduct rolls. */
+    /** Duty of rolling restarts. */
     static final String ROLL = "roll";
-    /** And of those who take off entries of hosts that died too many at once. */
+    /** Duty of probing and removing stale entries. */
     static final String SWEEP = "sweep";
     private static final Logger LOG = LoggerFactory.getLogger(DutyRunner.class);
     private static final int CALL_MILLIS = 600;
 
     private DutyCommands() { }
 
-    /** Takes up a duty. */
-    @Command(name = "duty", mixinStandardHelpOptions = true, description = "Duties that one process holds at a time.",
+    /** Commands for duties. */
+    @Command(name = "duty", mixinStandardHelpOptions = true, description = "Commands for duties, work that one process does at a time.",
             subcommands = {Run.class, Show.class})
     public static final class Duty implements Runnable {
 
@@ -47,7 +47,7 @@
         }
     }
 
-    /** Pauses of a runner after a turn, in milliseconds. */
+    /** Pause of a runner after a round, in milliseconds. */
     static long pause(DutyRunner.Turn turn) {
         return switch (turn) {
             case WAITS -> 200;
@@ -58,21 +58,21 @@
     }
 
     @Command(name = "run", mixinStandardHelpOptions = true,
-            description = "Waits for a duty, and does its work while it is held; a clean end hands it over at once.")
+            description = "Waits for a duty and does its work while holding it; a graceful shutdown releases it at once.")
     static final class Run implements Callable<Integer> {
 
-        @Parameters(index = "0", paramLabel = "NAME", description = "which: roll or sweep")
+        @Parameters(index = "0", paramLabel = "NAME", description = "the duty: roll or sweep")
         private String name;
 
         @Option(names = "--registry", paramLabel = "ADDRESS:PORT", split = ",", defaultValue = "127.0.0.1:9400",
-                description = "the replicas (default: ${DEFAULT-VALUE})")
+                description = "addresses of the replicas (default: ${DEFAULT-VALUE})")
         private List<String> registry;
 
-        @Option(names = "--who", paramLabel = "NAME", description = "this candidate (default: one of its own)")
+        @Option(names = "--who", paramLabel = "NAME", description = "name of this candidate (default: a random one)")
         private String who = "runner-" + UUID.randomUUID();
 
         @Option(names = "--term-ms", paramLabel = "MILLIS", defaultValue = "3000",
-                description = "it is lost when it is not renewed for so long (default: ${DEFAULT-VALUE})")
+                description = "duration of the lease (default: ${DEFAULT-VALUE})")
         private long term;
 
         @Spec
@@ -100,7 +100,7 @@
         }
     }
 
-    /** Until {@code end}; then the duty is released. */
+    /** Runs a candidate for a duty until {@code stop} opens, then releases the duty. */
     public static void run(String name, String who, long termMillis, List<String> registry, Clock clock, CountDownLatch end)
             throws InterruptedException {
         HttpReplicas replicas = new HttpReplicas(registry, Duration.ofMillis(CALL_MILLIS));
@@ -114,7 +114,7 @@
         runner.stop();
     }
 
-    @Command(name = "show", mixinStandardHelpOptions = true, description = "Who holds a duty, who waits, and how far it is.")
+    @Command(name = "show", mixinStandardHelpOptions = true, description = "Shows who holds a duty and who waits for it.")
     static final class Show extends Commands.Asking {
 
         @Parameters(index = "0", paramLabel = "NAME")
@@ -129,10 +129,10 @@
         }
     }
 
-    /** Rolls of gateways. */
+    /** Commands for rolling restarts. */
     @Command(name = "roll", mixinStandardHelpOptions = true,
-            description = "Takes gateways out one after the other, has each replaced, and takes it back; by whoever holds the "
-                    + "duty 'roll'.",
+            description = "Controls rolling restarts of gateways, done by the holder of the duty 'roll': each gateway in turn is "
+                    + "taken out of service, replaced and put back.",
             subcommands = {Start.class, Status.class, Pause.class, Resume.class, Abort.class})
     public static final class RollCommand implements Runnable {
 
@@ -154,10 +154,10 @@
         return calling.tell(answer, what + " ordered, number " + answer.body().get("number"));
     }
 
-    @Command(name = "start", mixinStandardHelpOptions = true, description = "Orders the roll that a file has.")
+    @Command(name = "start", mixinStandardHelpOptions = true, description = "Starts the rolling restart that a plan file describes.")
     static final class Start extends Commands.Asking {
 
-        @Parameters(index = "0", paramLabel = "PLAN", description = "a TOML file")
+        @Parameters(index = "0", paramLabel = "PLAN", description = "plan file, TOML")
         private Path file;
 
         @Override
@@ -170,7 +170,7 @@
         }
     }
 
-    @Command(name = "status", mixinStandardHelpOptions = true, description = "How far it is.")
+    @Command(name = "status", mixinStandardHelpOptions = true, description = "Shows the progress.")
     static final class Status extends Commands.Asking {
         @Override
         int ask(Commands.Calling calling) throws Commands.NoAnswer, InterruptedException {
@@ -184,7 +184,7 @@
         }
     }
 
-    @Command(name = "pause", mixinStandardHelpOptions = true, description = "After the step at hand nothing further.")
+    @Command(name = "pause", mixinStandardHelpOptions = true, description = "Pauses after the current step.")
     static final class Pause extends Commands.Asking {
         @Override
         int ask(Commands.Calling calling) throws Commands.NoAnswer, InterruptedException {
@@ -192,7 +192,7 @@
         }
     }
 
-    @Command(name = "resume", mixinStandardHelpOptions = true, description = "Goes on.")
+    @Command(name = "resume", mixinStandardHelpOptions = true, description = "Resumes after a pause.")
     static final class Resume extends Commands.Asking {
         @Override
         int ask(Commands.Calling calling) throws Commands.NoAnswer, InterruptedException {
@@ -200,7 +200,7 @@
         }
     }
 
-    @Command(name = "abort", mixinStandardHelpOptions = true, description = "Takes the gateway at hand back, and ends.")
+    @Command(name = "abort", mixinStandardHelpOptions = true, description = "Puts the current gateway back into service and ends.")
     static final class Abort extends Commands.Asking {
         @Override
         int ask(Commands.Calling calling) throws Commands.NoAnswer, InterruptedException {
--- a/registry/src/main/java/mastdrift/registry/DutyRunner.java
+++ b/registry/src/main/java/mastdrift/registry/DutyRunner.java
@@ -7,13 +7,13 @@
 import mastdrift.common.Clock;
 
 /**
- * Follows a duty, and does its work while it holds it. One thread calls {@link #turn} again and again; nothing else is kept
- * than when the duty was granted and which step is known to be begun. A step is written down as begun before it has any
- * effect, and as done after it: who takes over knows what may have happened.
+ * Acquires a duty and does its work while it holds the lease. One thread calls {@link #runOnce} repeatedly. Each step
+ * is recorded in the log as begun before it has any effect and as done after it, so a successor knows what may have
+ * happened; locally only the lease is kept.
  */
 final class DutyRunner {
 
-    /** What came of a turn, for the pause until the next. */
+    /** Result of a round; decides on the pause before the next. */
     enum Turn { WAITS, WORKED, IDLE, FAILED }
 
     private final String duty;
@@ -25,7 +25,7 @@
     private final Consumer<String> events;
     private final Tenure tenure;
 
-    /** {@code events} hears a line of each grant, loss and step. */
+    /** {@code eventLog} gets a line for each grant, loss and step. */
     DutyRunner(String duty, String who, long spanMillis, DutyService service, DutyWork work, Clock clock,
             Consumer<String> events) {
         this.duty = duty;
@@ -42,7 +42,7 @@
         return tenure.holds(clock.monotonicMicros());
     }
 
-    /** Keeps what it has, or asks for it; then at most one step. */
+    /** Acquires or renews the lease, then does at most one step of the work. */
     Turn turn() {
         try {
             if (!tenure.believes()) {
@@ -80,12 +80,12 @@
         }
     }
 
-    /** Renews in time; throws Lost where the service says no. */
+    /** Renews the lease if it is time; throws LeaseLostException if the service refuses. */
     private void keep() throws IOException {
         if (tenure.renews(clock.monotonicMicros())) {
             long asked = clock.monotonicMicros();
             if (!service.hold(duty, who, tenure.token()).yes()) {
-                throw new DutyWork.Lost("it is another's");
+                throw new DutyWork.Lost("another process holds it");
             }
             tenure.granted(asked, tenure.token());
         }
@@ -94,13 +94,13 @@
 
     private void check() throws DutyWork.Lost {
         if (!tenure.holds(clock.monotonicMicros())) {
-            throw new DutyWork.Lost("its term is over");
+            throw new DutyWork.Lost("its lease has expired");
         }
     }
 
     private void record(String step, Map<String, Object> state) throws IOException {
         if (!service.record(duty, who, tenure.token(), step, state).yes()) {
-            throw new DutyWork.Lost("step " + step + " is not taken: it is another's");
+            throw new DutyWork.Lost("step " + step + " was refused: another process holds the duty");
         }
         events.accept("duty-recorded " + duty + " " + step + " token " + tenure.token());
     }
@@ -110,7 +110,7 @@
         return duty.get("state") instanceof Map<?, ?> state ? (Map<String, Object>) state : Map.of();
     }
 
-    /** A clean end: the next who waits has it at once. */
+    /** Releases the duty, so that the next candidate gets it at once. */
     void stop() {
         try {
             service.release(duty, who, tenure.token());
--- a/registry/src/main/java/mastdrift/registry/DutyService.java
+++ b/registry/src/main/java/mastdrift/registry/DutyService.java
@@ -3,11 +3,11 @@
 import java.io.IOException;
 import java.util.Map;
 
-/** The list service as one who takes up duties calls it. Each call ends within a bound that is far under a term; throws
-    IOException where it is not known what came of it. */
+/** Duty operations of the list service. Each call ends within a time far shorter than a lease and throws IOException if
+    its outcome is unknown. */
 interface DutyService {
 
-    /** The service's answer: yes or no, and what it said. */
+    /** The service's response: whether it was a success, and its body. */
     record Answer(boolean yes, Map<String, Object> body) {
 
         long token() {
@@ -15,16 +15,16 @@
         }
     }
 
-    /** Asks for it, or keeps the place in the queue; the span is in milliseconds. */
+    /** Acquires a duty, or keeps the candidate's place in its queue; token 0 means not granted. */
     Answer acquire(String duty, String who, long span) throws IOException;
 
     Answer hold(String duty, String who, long token) throws IOException;
 
     Answer release(String duty, String who, long token) throws IOException;
 
-    /** A step of the work, by its id, and the state after it. */
+    /** Records a step of the work by its id, and the state after it. */
     Answer record(String duty, String who, long token, String step, Map<String, Object> state) throws IOException;
 
-    /** As the log has it; its state, and orders by staff. */
+    /** Reads a duty with its state and its orders, consistently with the log. */
     Answer read(String duty) throws IOException;
 }
--- a/registry/src/main/java/mastdrift/registry/DutyWork.java
+++ b/registry/src/main/java/mastdrift/registry/DutyWork.java
@@ -3,26 +3,26 @@
 import java.io.IOException;
 import java.util.Map;
 
-/** The work of a duty, step by step; what is known of it is in the log alone. Decides from what it is given and keeps
-    nothing, so that a successor goes on where the one before it was. */
+/** The work of a duty, step by step. Implementations keep no state of their own: everything is in the duty's state in
+    the log, so that a successor continues where its predecessor stopped. */
 interface DutyWork {
 
-    /** A step: its id, which no other step has, what it does and to whom. */
+    /** A step: its unique id, the kind of action and its parameters. */
     record Step(String id, String what, Map<String, Object> facts) { }
 
-    /** The next step; null where there is nothing to do now. What staff ordered is in the duty as it was read. */
+    /** Returns the next step; null if there is nothing to do now. {@code duty} includes the operators' orders. */
     Step next(Map<String, Object> duty) throws IOException;
 
-    /** Carries it out, harmlessly also if it was carried out before; whoever is acted on is told the token. Returns the state
-        after it. {@code mayAct} says whether the duty is still held: asked before each effect. */
+    /** Executes a step idempotently and returns the state after it. The target of an action gets the fencing token;
+        {@code leaseCheck} has to be called before each effect. */
     Map<String, Object> act(Step step, Map<String, Object> state, long token, Held mayAct) throws IOException;
 
-    /** Throws {@link Lost} once the duty is no more held. */
+    /** Throws {@link LeaseLostException} once the duty is no longer held. */
     interface Held {
         void check() throws Lost;
     }
 
-    /** The duty is another's by now. */
+    /** Thrown when the lease on the duty expired or went to another process. */
     final class Lost extends IOException {
         private static final long serialVersionUID = 1L;
 
--- a/registry/src/main/java/mastdrift/registry/Entry.java
+++ b/registry/src/main/java/mastdrift/registry/Entry.java
@@ -5,16 +5,16 @@
 import java.util.Objects;
 
 /**
- * A host as lists have it (PROTOCOL, "Discovery").
+ * A host on the endpoint list (PROTOCOL, "Discovery").
  *
- * @param uid its name, the same for every gateway
- * @param endpoint where it listens
- * @param zone {@code az} in lists
- * @param model its kind of machine
- * @param podGroup a number that hosts have in common that fail together
- * @param state {@code in_service}, {@code terminating} or, among changes alone, {@code terminated}
- * @param capacityHint what it can take, as a weight
- * @param bootMs the Unix time in milliseconds at which it last started, 0 for long ago
+ * @param uid the host's name, the same for every gateway
+ * @param endpoint address and port on which it listens
+ * @param zone its zone, {@code az} in lists
+ * @param model its machine type
+ * @param podGroup number shared by hosts that fail together
+ * @param state {@code in_service}, {@code terminating} or, only in updates, {@code terminated}
+ * @param capacityHint its capacity as a relative weight
+ * @param bootMs the Unix time in milliseconds at which it last started; 0 if long ago
  */
 public record Entry(String uid, String endpoint, String zone, String model, long podGroup, String state,
         double capacityHint, long bootMs) {
@@ -27,7 +27,7 @@
         return new Entry(uid, endpoint, zone, model, podGroup, other, capacityHint, bootMs);
     }
 
-    /** As lists have it. */
+    /** The JSON object that lists contain. */
     public Map<String, Object> target() {
         Map<String, Object> target = new LinkedHashMap<>();
         target.put("uid", uid);
@@ -41,7 +41,7 @@
         return target;
     }
 
-    /** Of what a list or a caller says; throws IllegalArgumentException that names all that is wrong with it. */
+    /** Parses a list's or caller's JSON object; throws IllegalArgumentException that names every error. */
     public static Entry of(Map<?, ?> target) {
         StringBuilder faults = new StringBuilder();
         String uid = text(target, "uid", null, faults);
@@ -63,7 +63,7 @@
         return entry;
     }
 
-    /** Null for {@code otherwise}: it is needed. */
+    /** Reads a string; a null {@code defaultValue} makes the field required. */
     private static String text(Map<?, ?> target, String name, String otherwise, StringBuilder faults) {
         Object value = target.get(name);
         if (value == null && otherwise == null || value != null && !(value instanceof String)
--- a/registry/src/main/java/mastdrift/registry/Evacuations.java
+++ b/registry/src/main/java/mastdrift/registry/Evacuations.java
@@ -11,19 +11,21 @@
 import java.util.function.LongSupplier;
 
 /**
- * Zones that staff take out of service, and back, step by step by the log's time. Each is one durable change: whoever leads
- * carries it on, and no process has to be alive for it. An entry of such a zone is told as {@code terminating}, whatever its
- * host says; staff's own drains stay theirs. Part of {@link Catalogue}, under whose lock it is. Times are milliseconds.
+ * Evacuation of zones, and their return, step by step in log time. A transition is one entry of the log: any leader
+ * continues it, and no other process has to run for it. An entry of an evacuated zone is listed as {@code terminating},
+ * whatever state its host registers; entries that operators drained themselves stay drained on return. Part of
+ * {@link RegistryState} and guarded by its lock. Times are milliseconds.
  */
 final class Evacuations {
 
-    /** Of all registered capacity, what has to stay in service elsewhere unless staff say otherwise. */
+    /** Default part of all registered capacity that has to stay in service in other zones. */
     static final double KEEP = 0.6;
 
-    /** A zone on its way out ({@code back} false; it stays out) or back, which is over once all are in service. */
+    /** Evacuation of a zone, which lasts until it returns, or its return, which ends once all entries are in service.
+        */
     private record Move(boolean back, long began, long span) {
 
-        /** Of its entries, the part whose turn has come. */
+        /** Part of the entries that have to be moved by a log time. */
         double part(long time) {
             return span <= 0 ? 1 : Math.max(0, Math.min(1, (time - began) / (double) span));
         }
@@ -32,14 +34,14 @@
     private final Listing listing;
     private final LongSupplier nextRevision;
     private final Map<String, Move> moves = new TreeMap<>();
-    private final Set<String> out = new TreeSet<>();  // entries that are told as terminating by this alone
+    private final Set<String> out = new TreeSet<>();  // entries listed as terminating only because of their zone
 
     Evacuations(Listing listing, LongSupplier nextRevision) {
         this.listing = listing;
         this.nextRevision = nextRevision;
     }
 
-    /** Carries out a command on a zone; null where it is none. */
+    /** Applies a command on a zone; returns null for other commands. */
     Catalogue.Applied apply(Map<String, Object> command, long time, List<String> news) {
         return switch (Objects.toString(command.get("do"))) {
             case "evacuate" -> evacuate(command, time, news);
@@ -85,7 +87,7 @@
         return zone;
     }
 
-    /** Of all registered capacity, the part that is in service outside that zone. */
+    /** Part of all registered capacity that is in service outside a zone. */
     private double rest(String zone) {
         double all = listing.entries().stream().mapToDouble(Entry::capacityHint).sum();
         double rest = listing.entries().stream().filter(entry -> !entry.zone().equals(zone)
@@ -93,8 +95,8 @@
         return all <= 0 ? 1 : rest / all;
     }
 
-    /** An entry as it is to be listed: one that this holds out stays out, whatever its host puts, and one that is new to a
-        zone that is out begins there. */
+    /** Returns the entry as it has to be listed: an evacuated one stays {@code terminating} whatever its host
+        registers, and so does a new entry of an evacuated zone. */
     Entry listed(Entry entry, long time) {
         Move move = moves.get(entry.zone());
         boolean held = out.contains(entry.uid()) || move != null && !move.back && move.part(time) == 1;
@@ -105,7 +107,8 @@
         return entry.in(Entry.TERMINATING);
     }
 
-    /** Staff drain it themselves, or it is gone: it is no more this that holds it out. */
+    /** Stops tracking an entry that an operator drained or that was removed: a return of its zone leaves it as it is.
+        */
     void forget(String uid) {
         out.remove(uid);
     }
@@ -134,7 +137,7 @@
         }
     }
 
-    /** All zones as staff see them. */
+    /** Fields of {@code GET /v1/zones}. */
     Map<String, Object> shown(long time) {
         Set<String> names = new TreeSet<>(moves.keySet());
         listing.entries().forEach(entry -> names.add(entry.zone()));
@@ -164,7 +167,7 @@
         return Map.of("moves", all, "out", new ArrayList<>(out));
     }
 
-    /** What {@link #state} gave; null for a snapshot from before there were evacuations. */
+    /** Restores what {@link #state} returned; null for a snapshot from before evacuations existed. */
     void restore(Map<?, ?> state) {
         moves.clear();
         out.clear();
@@ -178,7 +181,7 @@
         }
     }
 
-    /** A backup is taken over by another log, whose time is another: what was under way is done at once. */
+    /** Completes all transitions at once: a restored backup came from a log with another time. */
     void rebase(long time) {
         moves.replaceAll((zone, move) -> new Move(move.back, time, 0));
     }
--- a/registry/src/main/java/mastdrift/registry/Feed.java
+++ b/registry/src/main/java/mastdrift/registry/Feed.java
@@ -12,19 +12,18 @@
 import mastdrift.common.Clock;
 import mastdrift.common.HttpServer;
 
-/** Watches of one list. A watcher is only ever behind by a revision, from which it is told what changed when it can take
-    it: nothing is queued for it. On its event loop but for {@link #changed}. */
+/** The open watches of one list. Nothing is queued for a watcher: when its connection is writable it gets the changes
+    since the revision that it has. Confined to its event loop except for {@link #scheduleUpdate}. */
 final class Feed {
 
-    /** So many watch at most where nothing else is said: each costs a socket and a revision, and a gateway more is to find
-        room beside a thousand others. */
+    /** Default limit of open watches; leaves room beyond a thousand gateways. A watch costs a socket and a revision. */
     static final int WATCHES_MOST = 2000;
-    private static final int GATHER_MILLIS = 5;  // changes that come within are one line
-    private static final int ALIVE_MILLIS = 2000;  // PROTOCOL: an empty line as long as nothing changes
-    private static final long SLOW_MICROS = 10_000_000;  // who takes nothing at all for so long is cut
-    private static final int LINES_MOST = 64;  // kept: most readers are equally far behind
+    private static final int GATHER_MILLIS = 5;  // changes within it are sent as one line
+    private static final int ALIVE_MILLIS = 2000;  // PROTOCOL: an empty line while nothing changes
+    private static final long SLOW_MICROS = 10_000_000;  // a watch that reads nothing for so long is closed
+    private static final int LINES_MOST = 64;  // most watchers have one of a few revisions
 
-    /** A line, and the revision that it brings its reader to. */
+    /** An encoded line and the revision that its reader has after it. */
     private record Told(long rev, HttpServer.SharedLine line) { }
 
     private final class Watcher {
@@ -46,14 +45,14 @@
     private final LongFunction<Listing.Line> since;
     private final int most;
     private final Set<Watcher> watchers = new HashSet<>();
-    private final Map<Long, Told> lines = new HashMap<>();  // of the newest revision, by where their readers stand
+    private final Map<Long, Told> lines = new HashMap<>();  // lines up to the newest revision, by the watcher's revision
     private long linesAt;
     private final AtomicBoolean asked = new AtomicBoolean();
     private volatile int count;
     private volatile long cut;
     private volatile long told;
 
-    /** {@code since} gives the line of what changed after a revision; at most so many watch. */
+    /** {@code updateSince} returns the line with the changes after a revision. */
     Feed(EventLoop loop, Clock clock, LongSupplier newest, LongFunction<Listing.Line> since, int most) {
         this.loop = loop;
         this.clock = clock;
@@ -63,7 +62,7 @@
         loop.scheduleWithFixedDelay(this::alive, ALIVE_MILLIS, ALIVE_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    /** The list has changed; from any thread. */
+    /** Schedules an update after a change of the list. May be called from any thread. */
     void changed() {
         if (asked.compareAndSet(false, true)) {
             loop.schedule(this::tell, GATHER_MILLIS, TimeUnit.MILLISECONDS);
@@ -74,17 +73,18 @@
         return count;
     }
 
-    /** Of watchers that took nothing for too long. */
+    /** Number of watches closed because their clients read nothing. */
     long cut() {
         return cut;
     }
 
-    /** Of lines to all watchers together. */
+    /** Number of update lines sent to all watchers. */
     long told() {
         return told;
     }
 
-    /** Answers with a watch from that revision on, or at once that there are too many. From the call's own loop. */
+    /** Opens a watch from a revision on, or responds 503 if there are too many. Called on the connection's event loop.
+        */
     void watch(HttpServer.Exchange call, long from) {
         if (count >= most) {
             call.respondJson(503, "{\"error\":\"too many watches\"}", "Retry-After", "1");
@@ -102,11 +102,12 @@
                 watchers.remove(watcher);
                 count = watchers.size();
             }));
-            changed();  // what came between both looks
+            changed();  // a change since the first line was made
         });
     }
 
-    /** Made once for all who stand there: after an outage a thousand come back for the same whole list. */
+    /** Returns the line for a revision, encoded once for all watchers: after an outage a thousand of them ask for the
+        same full list. */
     private Told line(long from) {
         long now = newest.getAsLong();
         if (now != linesAt || lines.size() >= LINES_MOST) {
@@ -142,13 +143,13 @@
                 watcher.lines.writeLine("");
                 watcher.tookAt = now;
             } else if (watcher.lines.bytesUntilWritable() < watcher.behind) {
-                watcher.tookAt = now;  // a long line, of which it takes part after part
+                watcher.tookAt = now;  // progress within a long line
                 watcher.behind = watcher.lines.bytesUntilWritable();
             } else if (now - watcher.tookAt > SLOW_MICROS) {
                 watcher.lines.abort();
                 cut++;
             }
         }
-        changed();  // those who could take nothing then
+        changed();  // for watchers that were not writable at the last update
     }
 }
--- a/registry/src/main/java/mastdrift/registry/Gauges.java
+++ b/registry/src/main/java/mastdrift/registry/Gauges.java
@@ -9,12 +9,12 @@
 import java.nio.charset.StandardCharsets;
 import java.util.function.DoubleSupplier;
 
-/** A process's figures, looked at when they are asked for, in the text form of Prometheus. */
+/** Gauges of a process, evaluated when scraped, in Prometheus text format. */
 final class Gauges {
 
     private final PrometheusRegistry registry = new PrometheusRegistry();
 
-    /** The same, for chains. */
+    /** Adds a gauge; returns this object for chaining. */
     Gauges put(String name, String help, DoubleSupplier value) {
         GaugeWithCallback.builder().name(name).help(help).callback(callback -> callback.call(value.getAsDouble()))
                 .register(registry);
--- a/registry/src/main/java/mastdrift/registry/HttpDutyService.java
+++ b/registry/src/main/java/mastdrift/registry/HttpDutyService.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import mastdrift.common.Json;
 
-/** Duties by the list service's calls. */
+/** {@link DutyService} over the list service's HTTP API. */
 final class HttpDutyService implements DutyService {
 
     private final HttpReplicas replicas;
--- a/registry/src/main/java/mastdrift/registry/HttpEntries.java
+++ b/registry/src/main/java/mastdrift/registry/HttpEntries.java
@@ -10,7 +10,7 @@
 import mastdrift.common.HttpServer;
 import mastdrift.common.Json;
 
-/** Entries by the list service's calls, and hosts by connections of our own. */
+/** Entries over the list service's HTTP API; hosts are probed by a TCP connection. */
 final class HttpEntries implements Sweep.Entries {
 
     private static final int DIAL_MILLIS = 500;
--- a/registry/src/main/java/mastdrift/registry/HttpGateways.java
+++ b/registry/src/main/java/mastdrift/registry/HttpGateways.java
@@ -8,7 +8,7 @@
 import java.time.Duration;
 import java.util.concurrent.TimeUnit;
 
-/** Gateways at their second addresses, as operators call them. */
+/** Gateways over HTTP, at their admin addresses. */
 final class HttpGateways implements Roll.Gateways {
 
     private static final Duration WITHIN = Duration.ofMillis(800);
@@ -69,7 +69,7 @@
     private void turn(String admin, String path, String process, long token) throws IOException {
         int status = call(admin, "POST", path + "?duty=" + duty + "&token=" + token + "&process=" + process).statusCode();
         if (status == REFUSED) {
-            throw new DutyWork.Lost(admin + " has heard a newer token, or is another process");
+            throw new DutyWork.Lost(admin + " has seen a newer token, or is another process");
         }
         if (status / 100 != 2) {
             throw new IOException(admin + path + " answers " + status);
--- a/registry/src/main/java/mastdrift/registry/HttpReplicas.java
+++ b/registry/src/main/java/mastdrift/registry/HttpReplicas.java
@@ -10,14 +10,14 @@
 import java.util.Map;
 import mastdrift.common.Json;
 
-/** The list service by its calls: the replica that answered last, then the others in turn. For calls that are harmless when made
-    twice, so that the next replica may be asked after one that is silent. */
+/** HTTP client of the list service that fails over between replicas, beginning with the one that answered last. Only
+    for idempotent requests, as a request may be repeated at the next replica after a timeout. */
 final class HttpReplicas {
 
     private static final int NOT_DONE = 503;
     private static final int NOT_KNOWN = 504;
 
-    /** What a replica said. */
+    /** Response of a replica. */
     record Answer(int status, byte[] body) {
 
         boolean yes() {
@@ -30,14 +30,14 @@
     private final HttpClient client;
     private int at;
 
-    /** A call ends within {@code within} for each replica. */
+    /** {@code timeout} applies to each replica that is tried. */
     HttpReplicas(List<String> replicas, Duration within) {
         this.replicas = List.copyOf(replicas);
         this.within = within;
         client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).connectTimeout(within).build();
     }
 
-    /** Throws IOException where no replica answers, or none says what came of it. */
+    /** Throws IOException if no replica answers, or all answer 503 or 504. */
     Answer call(String method, String path, Map<String, Object> body) throws IOException {
         IOException last = null;
         for (int tries = 0; tries < replicas.size(); tries++) {
@@ -47,14 +47,14 @@
             try {
                 HttpResponse<byte[]> answer = client.send(request, HttpResponse.BodyHandlers.ofByteArray());
                 if (answer.statusCode() != NOT_DONE && answer.statusCode() != NOT_KNOWN) {
-                    Json.parse(answer.body());  // what is no JSON is no answer
+                    Json.parse(answer.body());  // throws for a body that is not JSON
                     return new Answer(answer.statusCode(), answer.body());
                 }
                 last = new IOException(replicas.get(at) + " answers " + answer.statusCode());
             } catch (IOException e) {
                 last = new IOException(replicas.get(at) + ": " + (e.getMessage() == null ? "no answer" : e.getMessage()), e);
             } catch (IllegalArgumentException e) {
-                last = new IOException(replicas.get(at) + " answers nonsense: " + e.getMessage(), e);
+                last = new IOException(replicas.get(at) + " answers with invalid JSON: " + e.getMessage(), e);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
                 throw new IOException("interrupted", e);
--- a/registry/src/main/java/mastdrift/registry/Identity.java
+++ b/registry/src/main/java/mastdrift/registry/Identity.java
@@ -10,16 +10,18 @@
 import mastdrift.common.Json;
 
 /**
- * Which replica a folder belongs to. A name is the same for ever; an id is of one folder, so that a replica whose folder was
- * wiped, or replaced by an older copy, comes back under another and is not counted as the one that had acknowledged entries.
+ * Identity of a replica's folder. The name is permanent; the id belongs to one folder, so that a replica whose folder
+ * was wiped or replaced by an older copy rejoins under a new id and doesn't count as the one that had acknowledged log
+ * entries.
  *
- * @param name the replica's
- * @param id its name and that of the folder
- * @param mark grows while it runs, here before in the log: a folder with less than the log has is an older copy
+ * @param name the replica's name
+ * @param id the name and a suffix for the folder
+ * @param mark generation, which grows while the replica runs, first on disk and then in the log: a folder whose
+ * generation is lower than the log's is an older copy
  */
 record Identity(String name, String id, long mark) {
 
-    /** What the state machine has heard of the replica with a name. */
+    /** The id and generation that the replicated state has recorded for a replica name. */
     record Known(String id, long mark) {
 
         static Known of(Map<?, ?> member) {
@@ -27,7 +29,7 @@
         }
     }
 
-    /** Of those who were there from the first. */
+    /** Identity of a replica of the initial group. */
     static Identity first(String name) {
         return new Identity(name, firstId(name), 0);
     }
@@ -36,7 +38,7 @@
         return name + "~0";
     }
 
-    /** Of one that takes the place of an earlier one of that name. */
+    /** Identity of a replica that replaces an earlier one of the same name. */
     static Identity fresh(String name, Random random) {
         return new Identity(name, name + "~" + Integer.toHexString(random.nextInt() | 0x10000000), 0);
     }
@@ -49,7 +51,7 @@
         return new Identity(name, id, mark + 1);
     }
 
-    /** Whether this folder is behind what the others know of it. */
+    /** Whether this folder is older than what the other replicas have recorded. */
     boolean older(Known known) {
         return known != null && (!known.id.equals(id) || known.mark > mark);
     }
@@ -58,7 +60,8 @@
         return folder.resolve("identity.json");
     }
 
-    /** Null where the folder has none; throws IOException that names a spoilt one. */
+    /** Reads the identity of a folder; null if it has none. Throws IOException that names the file if it is corrupted.
+        */
     static Identity read(Path folder, Disk disk) throws IOException {
         byte[] content = disk.read(file(folder));
         if (content == null) {
--- a/registry/src/main/java/mastdrift/registry/Listing.java
+++ b/registry/src/main/java/mastdrift/registry/Listing.java
@@ -10,22 +10,22 @@
 import java.util.TreeMap;
 import mastdrift.common.Json;
 
-/** A list with revisions: each change has one of its own, and what changed after any of the last ones can be told, many
-    changes of an entry as its newest. Not for more than one thread at a time. */
+/** Endpoint list with revisions: each change gets a revision, and the changes after any recent revision can be
+    computed, an entry that changed several times once in its newest form. Not thread-safe. */
 public class Listing {
 
-    /** A line of discovery and the revision that it brings its reader to. */
+    /** A discovery line and the revision that its reader has after it. */
     public record Line(long rev, String text) { }
 
-    /** So many that have left are remembered; who asks from before them gets the whole list. */
+    /** Number of removed entries that are kept; a reader from before the oldest of them gets the full list. */
     static final int LEFT_MOST = 20_000;
 
     private final Map<String, Entry> entries = new TreeMap<>();
-    private final Map<String, Long> revisions = new HashMap<>();  // of those present and those that have left
-    private final NavigableMap<Long, List<String>> changed = new TreeMap<>();  // by revision, each entry at its newest alone
+    private final Map<String, Long> revisions = new HashMap<>();  // of present and of removed entries
+    private final NavigableMap<Long, List<String>> changed = new TreeMap<>();  // each entry under its newest revision
     private final NavigableMap<Long, List<Entry>> left = new TreeMap<>();
     private int leftCount;
-    private long floor;  // what changed after this can be told
+    private long floor;  // oldest revision after which all changes are known
     private long rev;
 
     public long rev() {
@@ -44,19 +44,19 @@
         return entries.get(uid);
     }
 
-    /** The revision of its newest change, 0 where it is not on the list. */
+    /** The revision of an entry's newest change; 0 if it is not on the list. */
     long revision(String uid) {
         return entries.containsKey(uid) ? revisions.get(uid) : 0;
     }
 
-    /** Puts or changes it at that revision, which is the newest. */
+    /** Adds or changes an entry at a revision, which has to be the newest. */
     void put(Entry entry, long at) {
         forget(entry.uid());
         entries.put(entry.uid(), entry);
         mark(entry.uid(), at);
     }
 
-    /** Takes it off at that revision, which is the newest. */
+    /** Removes an entry at a revision, which has to be the newest. */
     void remove(String uid, long at) {
         Entry entry = entries.remove(uid);
         forget(uid);
@@ -82,7 +82,7 @@
         rev = 0;
     }
 
-    /** Nothing changed, but the revision is known to be that. */
+    /** Raises the list's revision without a change. */
     void advance(long at) {
         rev = Math.max(rev, at);
     }
@@ -112,7 +112,7 @@
         }
     }
 
-    /** What changed after that revision can no longer be told before this one. */
+    /** Gives up the changes up to a revision: readers from before it get the full list. */
     void floor(long at) {
         floor = Math.max(floor, at);
     }
@@ -121,24 +121,24 @@
         return floor;
     }
 
-    /** Those that left after that revision, as {@code terminated}, by their revisions. */
+    /** Entries removed after a revision, as {@code terminated}, by the revision of their removal. */
     NavigableMap<Long, List<Entry>> leftAfter(long from) {
         return left.tailMap(from, false);
     }
 
-    /** Remembers one that had left before, when a list is read back. */
+    /** Adds an entry that had been removed already, when a snapshot is loaded. */
     void addLeft(Entry entry, long at) {
         mark(entry.uid(), at);
         left.computeIfAbsent(at, r -> new ArrayList<>()).add(entry);
         leftCount++;
     }
 
-    /** The whole list as a line of discovery. */
+    /** The full list as a discovery line. */
     public Line whole() {
         return line(rev, true, entries.values());
     }
 
-    /** What changed after that revision as a line of discovery; the whole list where that can't be told. */
+    /** The changes after a revision as a discovery line; the full list if they are no longer known. */
     public Line since(long from) {
         if (from <= 0 || from < floor || from > rev) {
             return whole();
--- a/registry/src/main/java/mastdrift/registry/Main.java
+++ b/registry/src/main/java/mastdrift/registry/Main.java
@@ -5,14 +5,14 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 
-/** The list service's commands alone; the springspar command has them too. */
+/** Command line with the list service's commands only; the springspar command includes them too. */
 @Command(name = "registry", subcommands = {Commands.Registry.class, Commands.StartAgent.class, Commands.Endpoints.class,
         DutyCommands.Duty.class, DutyCommands.RollCommand.class, ZoneCommands.Zone.class, MemberCommands.Members.class})
 public final class Main {
 
     private Main() { }
 
-    /** Says what our own processes log, and where: one line an event on standard output, libraries' from warnings on. */
+    /** Configures logging: one line per event on standard output, with libraries logging from warnings on. */
     public static void logToOutput() {
         System.setProperty("org.slf4j.simpleLogger.logFile", "System.out");
         System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", "warn");
@@ -22,16 +22,17 @@
         System.setProperty("org.slf4j.simpleLogger.showThreadName", "false");
     }
 
-    /** A fault that nobody caught ends the process: half a replica answers calls and takes part in nothing. */
+    /** Makes an uncaught exception end the process: a replica that lost a thread would accept requests without working.
+        */
     public static void endOnFaults() {
         Thread.setDefaultUncaughtExceptionHandler((thread, fault) -> {
-            System.err.println("ends by a fault in " + thread.getName());
+            System.err.println("uncaught exception in thread " + thread.getName());
             fault.printStackTrace();
             Runtime.getRuntime().halt(70);
         });
     }
 
-    /** Runs and exits with the status. */
+    /** Runs a command and exits with its status. */
     public static void main(String[] args) {
         logToOutput();
         endOnFaults();
--- a/registry/src/main/java/mastdrift/registry/MemberCommands.java
+++ b/registry/src/main/java/mastdrift/registry/MemberCommands.java
@@ -9,14 +9,14 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Who is present among our processes, as the springspar command has it. */
+/** Commands that show the membership of processes. */
 public final class MemberCommands {
 
     private MemberCommands() { }
 
-    /** All of them. */
+    /** Commands for the membership. */
     @Command(name = "members", mixinStandardHelpOptions = true,
-            description = "Who is present among the processes, by numbered views; replicas alone: registry members.",
+            description = "Shows the membership of processes as numbered views; for replicas see 'registry members'.",
             subcommands = {ListAll.class, Watch.class, Why.class})
     public static final class Members implements Runnable {
 
@@ -44,7 +44,7 @@
         return by == null ? "" : "  not heard by " + by;
     }
 
-    @Command(name = "list", mixinStandardHelpOptions = true, description = "The present view, a member a line.")
+    @Command(name = "list", mixinStandardHelpOptions = true, description = "Lists the current view, one member per line.")
     static final class ListAll extends Commands.Asking {
         @Override
         int ask(Commands.Calling calling) throws Commands.NoAnswer, InterruptedException {
@@ -53,12 +53,12 @@
         }
     }
 
-    @Command(name = "watch", mixinStandardHelpOptions = true, description = "Each view as it comes.")
+    @Command(name = "watch", mixinStandardHelpOptions = true, description = "Prints each new view.")
     static final class Watch extends Commands.Asking {
 
         private static final int LOOK_MILLIS = 300;
 
-        @Option(names = "--views", paramLabel = "N", defaultValue = "0", description = "end after so many (default: never)")
+        @Option(names = "--views", paramLabel = "N", defaultValue = "0", description = "end after so many views (default: never)")
         private int views;
 
         @Override
@@ -78,7 +78,7 @@
     }
 
     @Command(name = "why", mixinStandardHelpOptions = true,
-            description = "Who reports a member now, and how it last came or went.")
+            description = "Shows who reports a member now, and how it last joined or left.")
     static final class Why extends Commands.Asking {
 
         @Parameters(index = "0", paramLabel = "NAME")
--- a/registry/src/main/java/mastdrift/registry/Members.java
+++ b/registry/src/main/java/mastdrift/registry/Members.java
@@ -17,11 +17,11 @@
 import java.util.function.IntBinaryOperator;
 import org.apache.commons.codec.digest.MurmurHash3;
 
-/** Who is present, as views that the log numbers, and who reports whom. Part of {@link Catalogue}, under whose lock it is; see
-    docs/members.md. */
+/** The replicated membership: numbered views of the present members, and the watchers' reports of unreachable ones.
+    Part of {@link RegistryState} and guarded by its lock; see docs/members.md. */
 final class Members {
 
-    /** A process by its name, which start of it, and where others call it. */
+    /** A member process; the incarnation tells its starts apart, the address is the one that watchers call. */
     record Member(String name, String role, String zone, String address, long incarnation, String version) {
 
         static Member of(Map<?, ?> shown) {
@@ -42,18 +42,20 @@
         }
     }
 
-    /** So many watch each member, where there are that many others. */
+    /** Number of watchers of each member, if there are that many other members. */
     static final int WATCHERS = 8;
-    /** From so many reports on it is sure, and from so many open; of fewer watchers in proportion. */
+    /** Reports that remove a member; scaled down if it has fewer watchers. */
     static final int HIGH = 6;
+    /** Reports that make a member suspect; scaled down if it has fewer watchers. */
     static final int LOW = 3;
-    /** So long a member may stay open by the log's time, before what speaks against it is let go of. */
+    /** How long, in log time, a member that is suspect but not removable holds up the removal of others. */
     static final long OPEN_MILLIS = 10_000;
+    /** Added to the view number on restore; more views than there are between two backups. */
     static final long RESTORED_JUMP = 1_000_000;
-    /** So many changes are remembered, for staff who ask why. */
+    /** Number of view changes that are kept for operators. */
     static final int EVENTS_KEPT = 200;
 
-    /** A change of views: who came or went, how, and by whose reports. */
+    /** A change of the view: which members joined or left, how, and by whose reports. */
     private record Change(long view, String how, List<String> members, List<String> by) {
 
         Map<String, Object> shown() {
@@ -68,15 +70,15 @@
 
     private final Deque<Change> changes = new ArrayDeque<>();
     private final Map<String, Member> present = new TreeMap<>();
-    private final Map<String, Long> gone = new TreeMap<>();  // the last incarnation of those that have left
-    private final Map<String, Set<String>> reports = new TreeMap<>();  // who reports a member, by it
+    private final Map<String, Long> gone = new TreeMap<>();  // of members that have left
+    private final Map<String, Set<String>> reports = new TreeMap<>();  // reporting watchers, by the member that they report
     private final Map<String, Long> openSince = new TreeMap<>();
     private final Set<String> deaf = new TreeSet<>();
-    private Map<String, List<String>> watchers;  // of the present view; null until somebody asks
+    private Map<String, List<String>> watchers;  // of the current view, computed on demand; null if not yet
     private long view;
     private final IntBinaryOperator mark;
 
-    /** {@code mark} gives of a mark for {@link #WATCHERS} that for fewer watchers. */
+    /** {@code scaledThreshold} scales a threshold for {@link #WATCHERS_PER_MEMBER} watchers to the actual number. */
     Members(IntBinaryOperator mark) {
         this.mark = mark;
     }
@@ -89,7 +91,7 @@
         return present.values();
     }
 
-    /** Carries out a command; null where it is none. */
+    /** Applies a command on members; returns null for other commands. */
     Catalogue.Applied apply(Map<String, Object> command, long time, List<String> news) {
         String name = Objects.toString(command.get("name"));
         long incarnation = Catalogue.number(command, "incarnation", 0);
@@ -138,7 +140,8 @@
         return told(news);
     }
 
-    /** One that was removed, or has been started anew elsewhere, learns so from whatever it says. */
+    /** Error result for a sender that was removed or whose name has a newer incarnation; null if the sender is current.
+        */
     private Catalogue.Applied refused(String name, long incarnation, List<String> news) {
         Member member = present.get(name);
         if (member != null && member.incarnation == incarnation) {
@@ -154,7 +157,8 @@
         return new Catalogue.Applied(200, Map.of("view", view), news);
     }
 
-    /** A watcher's whole opinion: whom of those that it watches it does not hear; {@code deaf} where it hears none. */
+    /** Takes a watcher's complete report: which of the members that it watches don't answer it; {@code deaf} if none
+        does. */
     private Catalogue.Applied report(String by, Map<String, Object> command, long time, List<String> news) {
         Set<String> silent = new TreeSet<>();
         if (command.get("silent") instanceof List<?> names) {
@@ -180,8 +184,9 @@
         return told(news);
     }
 
-    /** How many watchers report it. Of one that is open already, watchers whom others report count as well: they may be gone
-        themselves, and then never will. Of any other they would only open more. */
+    /** Number of watchers that count against a member. For a suspect member, watchers that are suspect themselves count
+        too: they may be down and then never report. For other members they don't, as that would only make more members
+        suspect. */
     private int against(String subject, Set<String> suspects) {
         Set<String> reporting = reports.getOrDefault(subject, Set.of());
         if (!suspects.contains(subject)) {
@@ -211,7 +216,7 @@
         }
         openSince.keySet().retainAll(open);
         open.forEach(subject -> openSince.putIfAbsent(subject, time));
-        // What stays open is between a few and the rest: nobody is held up by it, nor removed for it.
+        // A member that stays suspect has a problem with a few watchers only: it no longer holds up others and isn't removed.
         open.removeIf(subject -> time - openSince.get(subject) >= OPEN_MILLIS);
         if (sure.isEmpty() || !open.isEmpty()) {
             return;
@@ -223,7 +228,7 @@
         change(sure, "removed", news);
     }
 
-    /** Time has gone on: what was open for too long holds nothing up any more. */
+    /** Re-evaluates reports in log time, so that members suspect for too long no longer hold up removals. */
     void tick(long time, List<String> news) {
         if (!openSince.isEmpty()) {
             decide(time, news);
@@ -255,7 +260,7 @@
         deaf.remove(name);
     }
 
-    /** A new view: reports by those who no longer watch whom they reported are void. */
+    /** Starts a new view and drops the reports of members that are no longer watchers of their subjects. */
     private void turned(String fresh) {
         view++;
         if (fresh != null) {
@@ -268,7 +273,7 @@
         }
     }
 
-    /** Who watches whom in the present view. */
+    /** Watchers of each member in the current view. */
     Map<String, List<String>> watchers() {
         watchers = watchers == null ? watching(present.values()) : watchers;
         return watchers;
@@ -276,7 +281,7 @@
 
     private record Weighed(Member of, long weight) { }
 
-    /** Who watches each member of a view: the same wherever it is computed. */
+    /** Assigns watchers to each member of a view by rendezvous hashing; the result depends on the view alone. */
     static Map<String, List<String>> watching(Collection<Member> view) {
         Map<String, List<String>> watching = new HashMap<>();
         for (Member subject : view) {
@@ -285,7 +290,7 @@
                     .map(other -> new Weighed(other, weight(other.name, subject.name)))
                     .sorted(Comparator.comparingLong(Weighed::weight))
                     .forEach(other -> byZone.computeIfAbsent(other.of.zone, z -> new ArrayList<>()).add(other.of));
-            // Zones in turn, the order of zones a draw of its own for each member.
+            // Watchers come from the zones in turn; the order of zones is hashed for each member.
             List<List<Member>> zones = new ArrayList<>(byZone.values());
             zones.sort(Comparator.comparingLong(zone -> weight(zone.get(0).zone, subject.name)));
             List<String> chosen = new ArrayList<>();
@@ -305,7 +310,7 @@
         return MurmurHash3.hash128x64((of + '\0' + with).getBytes(StandardCharsets.UTF_8))[0];
     }
 
-    /** The present view, and what is said of its members. */
+    /** The current view with its reports and recent events. */
     Map<String, Object> shown() {
         Map<String, Object> shown = new LinkedHashMap<>();
         shown.put("view", view);
@@ -325,7 +330,7 @@
         return state;
     }
 
-    /** What {@link #state} gave; null for a snapshot from before there were members. */
+    /** Restores what {@link #state} returned; null for a snapshot from before membership existed. */
     void restore(Map<?, ?> state) {
         present.clear();
         gone.clear();
@@ -363,7 +368,7 @@
         return ((List<?>) list).stream().map(Object::toString).toList();
     }
 
-    /** From a backup: views that were seen since it was made are behind. */
+    /** Raises the view number after a restore above any view seen since the backup. */
     void jump() {
         view += RESTORED_JUMP;
     }
--- a/registry/src/main/java/mastdrift/registry/Membership.java
+++ b/registry/src/main/java/mastdrift/registry/Membership.java
@@ -20,19 +20,19 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A process's part in the membership: it joins, watches those that the view gives it by plain calls at addresses that they have
- * anyway, and tells the log whom it does not hear. One thread calls the list service, another the members, so that a service
- * that is away delays nobody's calls.
+ * A process's side of the membership: joins, calls the members that the view assigns to it at addresses that they serve
+ * anyway, and reports those that don't answer to the list service. One thread calls the service and another the
+ * members, so that an unavailable service doesn't delay the calls to members.
  */
 public final class Membership implements AutoCloseable {
 
     /**
-     * What a member is told of itself.
+     * Configuration of a member.
      *
-     * @param name one process's alone
-     * @param role what it is: agent, registry
-     * @param zone where it is
-     * @param address where others call it; whatever it answers counts
+     * @param name the member's name, unique among processes
+     * @param role kind of process: agent, registry
+     * @param zone its zone
+     * @param address host, port and path that other members call; any HTTP response counts as an answer
      */
     public record Setup(String name, String role, String zone, String address) { }
 
@@ -41,7 +41,7 @@
     private static final long EVERY_MILLIS = 500;
     private static final Duration ANSWER_WITHIN = Duration.ofMillis(450);
     private static final Duration SERVICE_WITHIN = Duration.ofMillis(600);
-    private static final long AGAIN_MICROS = 5_000_000;  // an opinion is told again, lest one was lost
+    private static final long AGAIN_MICROS = 5_000_000;  // an unchanged report is repeated, in case one was lost
     private static final int GONE = 410;
     private static final int OTHERS = 409;
 
@@ -54,20 +54,20 @@
     private final ScheduledExecutorService calls = Executors.newSingleThreadScheduledExecutor();
     private final ScheduledExecutorService service = Executors.newSingleThreadScheduledExecutor();
     private final boolean raises;
-    private long incarnation;  // the service thread's, as all below
-    private boolean asked;  // to join: the service may have taken it, whatever became of the answer
+    private long incarnation;  // this and the fields below: service thread only
+    private boolean asked;  // the join may have been applied even without an answer
     private boolean joined;
     private boolean displaced;
     private Detector.Opinion told;
     private long toldAt;
-    private volatile long heardAt;  // of the service
+    private volatile long heardAt;  // the service's last answer
 
-    /** Takes part from now on, and for as long as the process lives. */
+    /** Joins, and takes part until closed. */
     public Membership(Setup setup, List<String> replicas, Clock clock) {
         this(setup, replicas, clock, new Detector(setup.name(), EVERY_MILLIS * 1000), true);
     }
 
-    /** {@code raises} false and another detector are wrong on purpose, for the rig. */
+    /** For the rig's deliberately broken variants: another detector, or {@code raisesIncarnation} false. */
     public Membership(Setup setup, List<String> replicas, Clock clock, Detector detector, boolean raises) {
         this.setup = setup;
         this.clock = clock;
@@ -107,7 +107,7 @@
             look();
             report();
         } catch (IOException e) {
-            LOG.debug("members: {}", e.getMessage());  // the service is away: nobody is removed meanwhile
+            LOG.debug("members: {}", e.getMessage());  // service unavailable: nobody is removed meanwhile
         } catch (RuntimeException e) {
             LOG.info("members-failed {}", e.toString());
         }
@@ -134,7 +134,7 @@
         HttpReplicas.Answer answer = post("join", own());
         if (answer.status() == OTHERS && raises
                 && Json.parse(answer.body()).get("incarnation") instanceof Number known) {
-            incarnation = known.longValue() + 1;  // this start is the newer one
+            incarnation = known.longValue() + 1;  // this start is the newer one of the name
             answer = post("join", own());
         }
         if (answer.yes()) {
@@ -144,7 +144,7 @@
         }
     }
 
-    /** The newest view that some replica has; an older one than was seen is passed over. */
+    /** Fetches the newest view of some replica; ignores one older than the view seen last. */
     private void look() throws IOException {
         Map<String, Object> shown = Json.parse(replicas.call("GET", "/v1/members?after=" + detector.view(), null).body());
         heardAt = clock.monotonicMicros();
@@ -169,7 +169,7 @@
         }
     }
 
-    /** Alive, and removed: it comes back as another incarnation, and what it held is another's. */
+    /** This process was removed although it runs: it rejoins with a new incarnation. */
     private void removed() {
         if (joined) {
             LOG.info("member-removed {}#{}", setup.name(), incarnation);
@@ -204,7 +204,7 @@
         }
     }
 
-    /** What staff see of it; the age counts from the service's last answer, in seconds. */
+    /** Fields of the member's status; the view's age is in seconds since the service's last answer. */
     public Map<String, Object> status() {
         Map<String, Object> status = new LinkedHashMap<>();
         synchronized (detector) {
@@ -215,7 +215,7 @@
         return status;
     }
 
-    /** Leaves on purpose, also where its join has not been answered: it may have been taken. */
+    /** Stops and leaves, also if its join was not answered, as it may have been applied. */
     @Override
     public void close() {
         calls.shutdownNow();
--- a/registry/src/main/java/mastdrift/registry/Peers.java
+++ b/registry/src/main/java/mastdrift/registry/Peers.java
@@ -19,13 +19,14 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** How a replica finds out who it is before it takes part: from its folder, and from what the others know of its name. */
+/** Resolves a replica's identity before it joins the Raft group: from its folder and from what the other replicas
+    recorded. */
 public final class Peers {
 
-    /** Where one replica reaches another: its log, and its calls. */
+    /** Addresses at which other replicas reach a replica: Raft and HTTP API. */
     public record Address(String raft, String http) {
 
-        /** Of the form {@code ADDRESS:PORT/ADDRESS:PORT}. */
+        /** Parses {@code ADDRESS:PORT/ADDRESS:PORT}. */
         public static Address of(String text) {
             String[] parts = text.split("/");
             if (parts.length != 2) {
@@ -35,13 +36,13 @@
         }
     }
 
-    /** Who this replica is, and whether it has to ask to be let in. */
+    /** The resolved identity, and whether the replica has to ask the others to add it to the Raft group. */
     record Found(Identity identity, boolean joins) { }
 
     private static final Logger LOG = LoggerFactory.getLogger(Peers.class);
     private static final Duration WITHIN = Duration.ofMillis(1000);
     private static final int PAUSE_MILLIS = 200;
-    private static final int ALONE_ASKS = 15;  // with a folder of its own, so often it asks before it goes by that alone
+    private static final int ALONE_ASKS = 15;  // then a replica with an identity starts without answers
 
     private final String name;
     private final Map<String, Address> all;
@@ -53,7 +54,7 @@
         this.all = new LinkedHashMap<>(all);
     }
 
-    /** What each other replica that answers says of itself. */
+    /** Queries all other replicas; returns the status of those that answer, by name. */
     private Map<String, Map<String, Object>> ask() throws InterruptedException {
         Map<String, Map<String, Object>> answers = new HashMap<>();
         for (Map.Entry<String, Address> peer : all.entrySet()) {
@@ -72,9 +73,10 @@
     }
 
     /**
-     * Waits until it is certain. A new folder begins a service only once all others say that they are new as well; where any
-     * of them knows this name already, the folder was wiped. A folder with an identity is gone by, unless the others know
-     * more of it: then it is an older copy, and is put aside. Where none of them answers for a while it is all there is.
+     * Blocks until the identity is certain. A replica with an empty folder starts a new service only after all others
+     * have answered that they are new as well; if any of them has this name recorded, the folder was wiped. An existing
+     * identity is used unless the others have a newer one recorded: then the folder is an older copy and is moved
+     * aside. If nobody answers for a while, the existing identity is used.
      */
     Found find(Path folder, Disk disk, Random random) throws IOException, InterruptedException {
         Identity mine = read(folder, disk);
@@ -97,7 +99,7 @@
             if (mine != null && (formed || allAnswer || asks >= ALONE_ASKS)) {
                 return new Found(mine, !mine.id().equals(Identity.firstId(name)) && !isMember(mine, answers));
             }
-            // One that is new, and of whom nobody knows: all others have to say so, whether they have begun or not.
+            // A new replica that nobody has recorded: all others have to confirm it, started or not.
             if (mine == null && allAnswer) {
                 Identity first = Identity.first(name);
                 first.write(folder, disk);
@@ -120,7 +122,7 @@
         }
     }
 
-    /** Of what was counted under this name, the newest that anyone knows. */
+    /** The record of this replica's name from the replica that has applied the most of the log. */
     private Identity.Known newest(Map<String, Map<String, Object>> answers) {
         Identity.Known newest = null;
         long rev = -1;
@@ -140,7 +142,7 @@
                 && ids.contains(mine.id()));
     }
 
-    /** Nothing is deleted: staff may want to look. */
+    /** Moves a folder aside instead of deleting it, so that operators can inspect it. */
     static void aside(Path folder, String why) throws IOException {
         Path to = folder.resolveSibling(folder.getFileName() + "." + why);
         for (int i = 1; Files.exists(to); i++) {
@@ -151,7 +153,7 @@
         Files.createDirectories(folder);
     }
 
-    /** Asks the others in turn to be taken for the replica of this name, until one has done so. */
+    /** Asks the other replicas in turn to replace the peer of this name by this identity, until one has done so. */
     void join(Identity identity) throws InterruptedException {
         List<Address> others = new ArrayList<>();
         all.forEach((peer, address) -> {
--- a/registry/src/main/java/mastdrift/registry/RaftCatalogue.java
+++ b/registry/src/main/java/mastdrift/registry/RaftCatalogue.java
@@ -27,7 +27,8 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The catalogue as Ratis drives it: commands out of the log, snapshots in files that hold. */
+/** Ratis state machine around {@link RegistryState}: applies committed commands, and writes and loads snapshot files.
+    */
 final class RaftCatalogue extends BaseStateMachine {
 
     private static final Logger LOG = LoggerFactory.getLogger(RaftCatalogue.class);
@@ -38,7 +39,8 @@
     private final Consumer<Boolean> leads;
     private final SimpleStateMachineStorage storage = new SimpleStateMachineStorage();
 
-    /** {@code changed} is told of each new revision, {@code leads} whether this replica has become the leader or is none. */
+    /** {@code onChange} runs after each new revision; {@code onLeadership} gets true when this replica becomes the
+        leader and false when it is not. */
     RaftCatalogue(Catalogue catalogue, Disk disk, Runnable changed, Consumer<Boolean> leads) {
         this.catalogue = catalogue;
         this.disk = disk;
@@ -83,7 +85,7 @@
     public long takeSnapshot() throws IOException {
         TermIndex last;
         byte[] state;
-        synchronized (catalogue) {  // commands are applied by another thread
+        synchronized (catalogue) {  // commands are applied on another thread
             last = getLastAppliedTermIndex();
             state = Json.encode(catalogue.state()).getBytes(StandardCharsets.UTF_8);
         }
--- a/registry/src/main/java/mastdrift/registry/Replica.java
+++ b/registry/src/main/java/mastdrift/registry/Replica.java
@@ -51,18 +51,19 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** One replica of the list service: its part of the replicated log, and the calls of agents, hosts and staff. */
+/** One replica of the list service: runs its share of the Raft group and serves the HTTP API to agents, hosts and
+    operators. */
 public final class Replica implements AutoCloseable {
 
     /**
-     * What a replica is told.
+     * Configuration of a replica.
      *
-     * @param name its name, one of {@code peers}
-     * @param folder its files
-     * @param listen where it is called
-     * @param raft where it listens for the other replicas
-     * @param peers all replicas by name, this one too, and where the others reach each
-     * @param watchesMost so many watch at most
+     * @param name the replica's name, a key of {@code peers}
+     * @param folder directory of its files
+     * @param listen address of the HTTP API
+     * @param raft address on which it accepts Raft connections of other replicas
+     * @param peers addresses of all replicas by name, this one included
+     * @param watchesMost maximum number of open watches
      */
     public record Setup(String name, Path folder, InetSocketAddress listen, InetSocketAddress raft, Map<String, Peers.Address> peers,
             int watchesMost) { }
@@ -71,8 +72,8 @@
     private static final String CLUSTER = "springspar-registry";
     private static final int ELECTION_LEAST_MILLIS = 400;
     private static final int ELECTION_MOST_MILLIS = 800;
-    private static final int CALL_MILLIS = 1000;  // of one try within the replicas
-    private static final int TRIES = 3;  // then who called hears that it is not known
+    private static final int CALL_MILLIS = 1000;  // per attempt
+    private static final int TRIES = 3;  // then the caller is told that the outcome is unknown
     private static final int HEARD_MILLIS = 1000;
     private static final int CALLS_AT_ONCE = 32;
     private static final int CALLS_WAITING = 512;
@@ -95,15 +96,15 @@
     private final HttpServer http;
     private final CountDownLatch over = new CountDownLatch(1);
     private final Gauges gauges = new Gauges();
-    private volatile RaftServer server;  // null until it is known who this replica is
+    private volatile RaftServer server;  // null until the replica's identity is resolved
     private volatile RaftClient client;
     private volatile Identity identity;
     private volatile boolean leads;
-    private boolean reigns;  // whether the log has heard of this leader; the ticker's
+    private boolean reigns;  // this leader's "reign" command was committed; used by the scheduler's thread alone
     private long tickedAt;
 
-    /** Answers calls from now on, and takes part once {@link #begin} has found out who it is; throws IOException for an
-        address that can't be listened on. */
+    /** Starts the HTTP API; the replica joins the Raft group with {@link #start}. Throws IOException if the address
+        can't be bound. */
     public Replica(Setup setup, Clock clock, Catalogue catalogue, Disk disk) throws IOException {
         this.setup = setup;
         this.clock = clock;
@@ -126,8 +127,9 @@
         LOG.info("listening on {}:{}", setup.listen().getHostString(), http.port());
     }
 
-    /** Takes part; waits for as long as it is not certain who this replica is. A folder whose log or snapshot is spoilt is put
-        aside, and the replica comes back from its peers; alone, it throws the IOException that names the file. */
+    /** Joins the Raft group; blocks until the replica's identity is resolved. A folder whose log or snapshot is
+        corrupted is moved aside and the replica recovers from its peers; a single replica throws the IOException that
+        names the file. */
     public void begin() throws IOException, InterruptedException {
         Files.createDirectories(setup.folder());
         Peers peers = new Peers(setup.name(), setup.peers());
@@ -151,7 +153,7 @@
         LOG.info("takes-part id={}", identity.id());
     }
 
-    /** Whether it is the files that are at fault, and not what was asked for. */
+    /** Whether the failure comes from corrupted files. */
     private static boolean spoilt(Throwable fault) {
         for (Throwable cause = fault; cause != null; cause = cause.getCause()) {
             if (cause instanceof ChecksumException || cause instanceof CorruptedFileException
@@ -187,7 +189,7 @@
                         TimeUnit.MILLISECONDS))).build();
     }
 
-    /** This folder's mark grows, first here, then in the log: see {@link Identity}. */
+    /** Increments the folder's generation, first on disk, then in the log; see {@link ReplicaIdentity}. */
     private void mark() {
         try {
             Identity next = identity.marked();
@@ -238,7 +240,8 @@
         leads = yes;
     }
 
-    /** The leader's clock as entries of the log: first that it reigns, then what passed since the entry before. */
+    /** Writes the leader's clock to the log: a {@code reign} command when it becomes leader, then the time elapsed
+        since the previous entry. */
     private void tick() {
         try {
             long now = clock.monotonicMicros();
@@ -253,7 +256,7 @@
                 LOG.info("reigns term={}", info().getCurrentTerm());
             } else {
                 long elapsed = (now - tickedAt) / 1000;
-                tickedAt = now;  // also if this tick is lost: time may pass too slowly, never twice
+                tickedAt = now;  // before sending: a lost tick slows log time, but no time is counted twice
                 send(Catalogue.command("tick", "elapsed", elapsed));
             }
         } catch (IOException | RuntimeException e) {
@@ -308,7 +311,7 @@
             named(call, path.substring("/v1/zones/".length()).split("/"), "zone", "evacuate", "return");
         } else if (path.equals("/v1/members") && method.equals("GET")) {
             if (call.queryParameter("after") != null) {
-                call.respondJson(200, Json.encode(catalogue.view(call.queryLong("after", 0))));  // a newer one comes soon enough
+                call.respondJson(200, Json.encode(catalogue.view(call.queryLong("after", 0))));  // a stale view is fine: callers poll
             } else {
                 write(call, Catalogue.command("read", "what", "members"));
             }
@@ -329,7 +332,7 @@
         }
     }
 
-    /** {@code NAME/WHAT} of a member, a duty or a zone: the body has the rest of the command. */
+    /** Handles {@code NAME/ACTION} of a member, duty or zone; the body holds the other fields of the command. */
     private void named(HttpServer.Exchange call, String[] parts, String key, String... known) throws IOException {
         if (parts.length != 2 || !List.of(known).contains(parts[1])) {
             call.respondJson(404, "{\"error\":\"no such call\"}");
@@ -342,7 +345,8 @@
         write(call, command);
     }
 
-    /** Discovery. A caller that has a newer list than this replica says so, and is sent elsewhere. */
+    /** Serves discovery. A caller whose {@code X-Least-Revision} is newer than this replica's list gets 412 and has to
+        ask another replica. */
     private void list(HttpServer.Exchange call) throws IOException {
         String least = call.header("X-Least-Revision");
         long rev = catalogue.rev();
@@ -357,7 +361,7 @@
         }
     }
 
-    /** A replica of a name that is known comes back under a new id: it takes the old one's place. */
+    /** Replaces the Raft peer of a known replica name by one with a new id. */
     private void join(HttpServer.Exchange call) throws IOException {
         Map<String, Object> body = Json.parse(call.body());
         String id = body.get("id").toString();
@@ -380,11 +384,11 @@
         Map<String, Object> entry = new LinkedHashMap<>(Json.parse(call.body()));
         entry.put("uid", uid);
         Object span = entry.remove("lease_ms");
-        Entry.of(entry);  // what is wrong is told before the log is asked
+        Entry.of(entry);  // rejects an invalid entry before it is sent to the log
         write(call, conditions(call, Catalogue.command("put", "entry", entry, "lease_ms", span == null ? 0 : span)));
     }
 
-    /** What a write asks for besides: its entry's revision, and the duty and token for which it is made. */
+    /** Adds the optional preconditions of a write: the entry's revision, and a duty with its fencing token. */
     private static Map<String, Object> conditions(HttpServer.Exchange call, Map<String, Object> command) {
         if (call.queryParameter("token") != null) {
             command.put("duty", call.queryParameter("duty"));
@@ -396,9 +400,9 @@
         return command;
     }
 
-    /** Through the log. Reads that must see every write go this way too: Ratis 3.2 answers its own linearizable reads without
-        asking a majority where its commit index was confirmed before, so that a leader that was frozen answered with what
-        others had since changed ({@code rig/plans/registry-leader.toml} found it). */
+    /** Submits a command to the log and responds with its result. Linearizable reads go through the log too: Ratis 3.2
+        serves its own linearizable reads without contacting a majority if its commit index was confirmed before, so a
+        leader that had been paused returned stale data ({@code rig/plans/registry-leader.toml} reproduces it). */
     private void write(HttpServer.Exchange call, Map<String, Object> command) throws IOException {
         later(call, () -> {
             Map<String, Object> applied = send(command);
@@ -410,7 +414,8 @@
         void run() throws IOException;
     }
 
-    /** Off the loop, for it waits for the other replicas; at once refused where no leader is known or too many wait. */
+    /** Runs a task that waits for other replicas off the event loop; responds 503 at once if there is no leader or the
+        queue is full. */
     private void later(HttpServer.Exchange call, Work work) throws IOException {
         if (server == null || client == null || info().getLeaderId() == null || aloneAsLeader()) {
             call.respondJson(503, "{\"error\":\"no leader\"}", "Retry-After", "0.5");
@@ -429,8 +434,8 @@
         }
     }
 
-    /** A leader that has heard no majority for longer than an election takes can get nothing done, though it does not know yet
-        that it is none. */
+    /** Whether this replica believes to be the leader but has had no contact with a majority for longer than an
+        election takes: it can't commit anything. */
     private boolean aloneAsLeader() throws IOException {
         if (!info().isLeader()) {
             return false;
@@ -440,7 +445,7 @@
         return 2 * (heard + 1) <= followers.size() + 1;
     }
 
-    /** What staff see of this replica. */
+    /** Fields of {@code GET /v1/registry}. */
     Map<String, Object> status() throws IOException {
         Map<String, Object> status = new LinkedHashMap<>();
         status.put("name", setup.name());
@@ -464,12 +469,12 @@
         return status;
     }
 
-    /** Waits for {@link #close}. */
+    /** Blocks until {@link #close}. */
     public void await() throws InterruptedException {
         over.await();
     }
 
-    /** Where it is called, for those who asked for any port. */
+    /** The port of the HTTP API, if the configured port was 0. */
     public int port() {
         return http.port();
     }
--- a/registry/src/main/java/mastdrift/registry/Roll.java
+++ b/registry/src/main/java/mastdrift/registry/Roll.java
@@ -8,17 +8,19 @@
 import java.util.Objects;
 
 /**
- * The conductor's work: takes the gateways of a plan out of service one after the other, has each replaced or looked after,
- * and takes it back, as staff order. All that it knows is in the duty's state, so that a successor goes on where it was. It
- * stops by itself and takes the gateway at hand back where those it has touched fail more than those it has not.
+ * Work of the duty {@code roll}: a rolling restart, started and controlled by operators' orders. Takes the gateways of
+ * a plan out of service one after the other, has each replaced, and puts it back into service. All state is in the
+ * duty, so a successor continues at the same point. It aborts by itself if the gateways restarted so far fail more
+ * requests than the others.
  */
 final class Roll implements DutyWork {
 
-    /** What a gateway says of itself. */
+    /** Status of a gateway: readiness, process id, requests in flight, and counts of served and of refused or failed
+        requests. */
     record Seen(boolean ready, String process, double inFlight, double served, double bad) { }
 
-    /** Gateways as the conductor calls them, at their second address; a call that may change anything names duty, token and
-        the process that it is meant for, and is refused by a process that has heard a newer token, or is another. */
+    /** Access to gateways at their admin addresses. A call that changes something carries duty, token and the process
+        id that it is meant for; another process refuses it, and so does one that has seen a newer token. */
     interface Gateways {
         Seen look(String admin) throws IOException;
 
@@ -26,13 +28,13 @@
 
         void active(String admin, String process, long token) throws IOException;
 
-        /** Has that process replaced, and no other: one that woke late must not end its successor. */
+        /** Replaces that process and no other, so that a delayed holder of the duty can't end its successor. */
         void replace(String name, String process, String command) throws IOException;
     }
 
     private static final List<String> STAGES = List.of("standby", "quiet", "replace", "active", "ready");
-    private static final double WORSE = 0.05;  // share of requests refused or failed, over that of gateways not yet touched
-    private static final double ENOUGH = 50;  // requests that make a share
+    private static final double WORSE = 0.05;  // of the part of requests refused or failed, over the other gateways
+    private static final double ENOUGH = 50;
 
     private final Gateways gateways;
 
@@ -67,7 +69,7 @@
         return new Step(state.get("id") + " " + number(state, "at") + " " + what, what, Map.of());
     }
 
-    /** Whether what that stage waits for has come. */
+    /** Whether the condition for a stage is met. */
     private boolean may(Map<String, Object> state, String stage) throws IOException {
         Map<?, ?> target = target(state);
         switch (stage) {
@@ -87,7 +89,7 @@
         }
     }
 
-    /** All others are ready, and enough of its zone stay. */
+    /** Whether all other gateways are ready and enough of the target's zone remain. */
     private boolean mayLeave(Map<String, Object> state, Map<?, ?> target) throws IOException {
         Map<?, ?> plan = (Map<?, ?>) state.get("plan");
         double keep = ((Number) plan.get("keep")).doubleValue();
@@ -183,7 +185,7 @@
             case "pause" -> after.put("phase", phase.equals("running") ? "paused" : phase);
             case "resume" -> after.put("phase", phase.equals("paused") ? "running" : phase);
             case "abort" -> {
-                // A gateway that was taken out is taken back; between two there is nothing to undo.
+                // A gateway that is out of service has to be put back; between two gateways there is nothing to undo.
                 boolean out = number(after, "stage") > 0;
                 after.put("phase", !on ? phase : out ? "undoing" : "aborted");
                 after.put("why", "ordered");
@@ -201,7 +203,7 @@
         return target.get("admin").toString();
     }
 
-    /** Served and bad of each gateway, now. */
+    /** Current counts of served and of failed requests, by gateway. */
     private Map<String, Object> figures(Map<String, Object> state) throws IOException {
         Map<String, Object> figures = new LinkedHashMap<>();
         for (Object each : list(((Map<?, ?>) state.get("plan")).get("gateways"))) {
@@ -212,7 +214,8 @@
         return figures;
     }
 
-    /** Why to stop: what those touched so far refuse or fail, since this one was begun, against those not yet touched. */
+    /** Compares the requests refused or failed since the current gateway was taken out, between the gateways restarted
+        so far and the others; returns a reason to abort, or null. */
     private String worse(Map<String, Object> state) throws IOException {
         Map<?, ?> before = (Map<?, ?>) state.get("figures");
         double[] served = new double[2];
@@ -223,7 +226,7 @@
             Seen seen = gateways.look(admin(gateway));
             List<?> then = list(before.get(gateway.get("name")));
             int side = i <= number(state, "at") ? 0 : 1;
-            // A process that was replaced counts from 0 again.
+            // The counters of a replaced process start at 0.
             double servedThen = ((Number) then.get(0)).doubleValue();
             served[side] += seen.served >= servedThen ? seen.served - servedThen : seen.served;
             double badThen = ((Number) then.get(1)).doubleValue();
--- a/registry/src/main/java/mastdrift/registry/RollPlan.java
+++ b/registry/src/main/java/mastdrift/registry/RollPlan.java
@@ -9,17 +9,17 @@
 import mastdrift.common.HttpServer;
 import mastdrift.common.TomlFile;
 
-/** A roll as its file has it; all that is wrong is told at once, with file, line and key. */
+/** Reads the TOML plan of a rolling restart; reports all errors together, with file, line and key. */
 final class RollPlan {
 
     private RollPlan() { }
 
-    /** As it goes into the log. */
+    /** Reads a plan file; returns the plan in the form that the log stores. */
     static Map<String, Object> read(Path file) throws TomlFile.ValidationException, IOException {
         return plan(TomlFile.read(file));
     }
 
-    /** The same for a text. */
+    /** Parses the text of a plan; {@code name} is used in error messages. */
     static Map<String, Object> parse(String text, String name) throws TomlFile.ValidationException {
         return plan(TomlFile.parse(text, name));
     }
@@ -50,7 +50,7 @@
             gateways.add(gateway);
         }
         if (sections.isEmpty()) {
-            top.addError("gateway", "expected at least one, each begun by [[gateway]]");
+            top.addError("gateway", "expected at least one [[gateway]] section");
         }
         plan.put("gateways", gateways);
         top.rejectUnknownKeys();
--- a/registry/src/main/java/mastdrift/registry/Suspicion.java
+++ b/registry/src/main/java/mastdrift/registry/Suspicion.java
@@ -5,17 +5,17 @@
 import org.apache.commons.statistics.distribution.NormalDistribution;
 
 /**
- * How unlikely a peer's silence is, by phi accrual (Hayashibara, Defago, Yared and Katayama, SRDS 2004): of the pauses between
- * its answers the mean and the spread are kept, and phi is the negative decimal logarithm of the chance of a pause as long as
- * the present one. Times in microseconds of one monotonic clock.
+ * Phi accrual failure detection (Hayashibara, Defago, Yared and Katayama, SRDS 2004) for one peer: from the mean and
+ * deviation of recent intervals between answers, phi is the negative decimal logarithm of the probability of an
+ * interval as long as the present silence. Times are microseconds of one monotonic clock.
  */
 final class Suspicion {
 
-    /** Above this a peer counts as silent: one pause in a million is so long by chance. */
+    /** Phi above which a peer counts as silent: one interval in a million is so long by chance. */
     static final double SILENT = 6;
     private static final int KEPT = 100;
     private static final int ENOUGH = 5;
-    private static final double LEAST_SPREAD = 0.2;  // of the mean: answers never come by the clock
+    private static final double LEAST_SPREAD = 0.2;  // of the mean; intervals always vary a little
 
     private final Deque<Double> pauses = new ArrayDeque<>();
     private final double expected;
@@ -23,13 +23,13 @@
     private double sum;
     private double squares;
 
-    /** {@code expected} is the pause that is asked for; it counts until there are enough others. */
+    /** {@code expectedInterval} is the interval between calls, used until there are enough samples. */
     Suspicion(long now, long expected) {
         this.expected = expected;
         last = now;
     }
 
-    /** It has answered. */
+    /** The peer has answered. */
     void heard(long now) {
         add(now - last);
         last = now;
@@ -46,7 +46,7 @@
         }
     }
 
-    /** The watcher itself was stopped: what it did not hear meanwhile says nothing. */
+    /** Measures silence from now on; for a pause of the watcher itself. */
     void startedAnew(long now) {
         last = now;
     }
@@ -60,7 +60,7 @@
         return chance <= 0 ? Double.MAX_VALUE : -Math.log10(chance);
     }
 
-    /** Since its last answer. */
+    /** Time since the last answer. */
     long quiet(long now) {
         return now - last;
     }
--- a/registry/src/main/java/mastdrift/registry/Sweep.java
+++ b/registry/src/main/java/mastdrift/registry/Sweep.java
@@ -6,27 +6,27 @@
 import java.util.Map;
 
 /**
- * The sweeper's work: entries whose leases are over and which were kept all the same, since too many would have gone at once,
- * are looked at one by one, and taken off where the host itself does not answer. A zone that was merely cut off from the
- * service keeps its entries; one that died loses them a few at a time. All that it knows is in the duty's state: how often
- * each was seen silent, at which revision.
+ * Work of the duty {@code sweep}: probes stale entries, which were kept after their leases expired because too many
+ * would have gone at once, one by one, and removes those whose hosts don't accept connections. A zone that was only
+ * partitioned from the service keeps its entries; one that is down loses them gradually. The duty's state holds, for
+ * each entry, its revision, its consecutive failed probes and the turn of its last probe.
  */
 final class Sweep implements DutyWork {
 
-    /** The list service as the sweeper needs it, and the hosts themselves. */
+    /** Access to the entries of the list service and to the hosts. */
     interface Entries {
 
-        /** All entries as staff see them. */
+        /** Describes all entries. */
         List<Map<String, Object>> all() throws IOException;
 
-        /** Whether somebody accepts a connection there. */
+        /** Whether the endpoint accepts a connection. */
         boolean answers(String endpoint);
 
-        /** Takes it off if it is still at that revision and the token is the newest; false if not. */
+        /** Removes an entry if it still has that revision and the token is the newest; returns whether it did. */
         boolean remove(String uid, long rev, long token) throws IOException;
     }
 
-    /** So often a host has to be silent, in looks that others come between. */
+    /** Consecutive failed probes after which an entry is removed; other stale entries are probed in between. */
     static final int LOOKS = 3;
 
     private final Entries entries;
@@ -35,7 +35,7 @@
         this.entries = entries;
     }
 
-    /** One entry a step: the stale one whose last look is longest ago. */
+    /** Probes one entry per step: the stale one whose last probe is the longest ago. */
     @Override
     public Step next(Map<String, Object> duty) throws IOException {
         Map<String, Object> state = DutyRunner.state(duty);
@@ -55,8 +55,8 @@
         return new Step("look " + (number(state.get("turn")) + 1) + " at " + next.get("uid"), "look", next);
     }
 
-    /** Of what was seen of it: 1 for how often it was silent, 2 for the turn of its last look. Of this revision alone: a host
-        that registered anew begins anew. */
+    /** A field of the entry's probe record: 1 for its failed probes, 2 for the turn of its last probe; 0 if the record
+        is of an older revision, as a host that registered again starts afresh. */
     private static long fact(Map<?, ?> seen, Map<String, Object> entry, int which) {
         return seen.get(entry.get("uid")) instanceof List<?> facts && number(facts.get(0)) == number(entry.get("rev"))
                 ? number(facts.get(which)) : 0;
@@ -78,7 +78,7 @@
         long turn = number(state.get("turn")) + 1;
         long looks = fact(seen, entry, 1) + 1;
         if (entries.answers(entry.get("endpoint").toString())) {
-            looks = 0;  // it serves: it is we who don't hear of it
+            looks = 0;  // the host is up, only its renewals don't arrive
         }
         if (looks >= LOOKS) {
             held.check();
--- a/registry/src/main/java/mastdrift/registry/Tenure.java
+++ b/registry/src/main/java/mastdrift/registry/Tenure.java
@@ -1,9 +1,9 @@
 package mastdrift.registry;
 
 /**
- * What a process may believe of a duty that it was granted: until when it may act, on its own monotonic clock, counted from
- * before it asked, and a tenth less. It rests no safety on that: whoever is acted on refuses an older token. Times in
- * microseconds.
+ * A holder's local view of its lease on a duty: valid on its own monotonic clock from the time of the request, a tenth
+ * shorter than the lease in the log. Safety doesn't depend on it: targets of an action refuse older fencing tokens.
+ * Times are microseconds.
  */
 final class Tenure {
 
@@ -12,12 +12,12 @@
     private long until;
     private long renewAt;
 
-    /** {@code span} as the log has it. */
+    /** {@code durationMicros} is the duration of the lease in the log. */
     Tenure(long span) {
         this.span = span;
     }
 
-    /** The service said so to what was asked at that time. */
+    /** The service granted or renewed the lease in response to a request sent at {@code requestedAt}. */
     void granted(long askedAt, long given) {
         token = given;
         until = askedAt + span - span / 10;
@@ -28,12 +28,12 @@
         token = 0;
     }
 
-    /** Whether it may act now. */
+    /** Whether the holder may act now. */
     boolean holds(long now) {
         return token > 0 && now < until;
     }
 
-    /** Whether it was granted and not told that it is lost; it may be over all the same. */
+    /** Whether the lease was granted and is not known to be lost; it may have expired. */
     boolean believes() {
         return token > 0;
     }
--- a/registry/src/main/java/mastdrift/registry/ZoneCommands.java
+++ b/registry/src/main/java/mastdrift/registry/ZoneCommands.java
@@ -13,14 +13,14 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Zones, as the springspar command has them: staff take one out of service through the list service, and back. */
+/** Commands for evacuating a zone through the list service, and for returning it. */
 public final class ZoneCommands {
 
     private ZoneCommands() { }
 
-    /** All of them. */
+    /** Commands for zones. */
     @Command(name = "zone", mixinStandardHelpOptions = true,
-            description = "Takes a zone out of service, step by step, and back; by the list service.",
+            description = "Evacuates a zone through the list service, and returns it.",
             subcommands = {Status.class, Evacuate.class, Return.class})
     public static final class Zone implements Runnable {
 
@@ -33,7 +33,7 @@
         }
     }
 
-    /** Reads {@code 60s}, {@code 1.5m} and {@code 500ms} as milliseconds. */
+    /** Converts durations like {@code 60s}, {@code 1.5m} and {@code 500ms} to milliseconds. */
     static final class Span implements CommandLine.ITypeConverter<Long> {
 
         private static final Pattern FORM = Pattern.compile("(\\d+(?:\\.\\d+)?)(ms|s|m)");
@@ -59,10 +59,10 @@
                 100 * ((Number) zone.get("rest")).doubleValue());
     }
 
-    @Command(name = "status", mixinStandardHelpOptions = true, description = "Each zone: what is in service, and what is under way.")
+    @Command(name = "status", mixinStandardHelpOptions = true, description = "Shows what is in service in each zone, and evacuations in progress.")
     static final class Status extends Commands.Asking {
 
-        @Parameters(index = "0", arity = "0..1", paramLabel = "NAME", description = "this one alone")
+        @Parameters(index = "0", arity = "0..1", paramLabel = "NAME", description = "only this zone")
         private String name;
 
         @Override
@@ -84,14 +84,14 @@
         }
     }
 
-    /** What both ways have in common. */
+    /** Common part of evacuation and return. */
     abstract static class Moving extends Commands.Asking {
 
         @Parameters(index = "0", paramLabel = "NAME")
         private String name;
 
         @Option(names = "--over", paramLabel = "SPAN", converter = Span.class, defaultValue = "0s",
-                description = "step by step within so long (default: ${DEFAULT-VALUE}, all at once)")
+                description = "duration of a gradual change (default: ${DEFAULT-VALUE}, all at once)")
         private long over;
 
         int move(Commands.Calling calling, String what, Map<String, Object> more) throws Commands.NoAnswer, InterruptedException {
@@ -103,14 +103,14 @@
     }
 
     @Command(name = "evacuate", mixinStandardHelpOptions = true,
-            description = "Its hosts are drained, and stay so until it returns; refused where the rest could not carry it.")
+            description = "Drains the hosts of a zone until it returns; refused if too little capacity would remain.")
     static final class Evacuate extends Moving {
 
         @Option(names = "--keep", paramLabel = "PART", defaultValue = "0.6",
-                description = "of all capacity, what has to stay in service elsewhere (default: ${DEFAULT-VALUE})")
+                description = "part of all capacity that has to stay in service elsewhere (default: ${DEFAULT-VALUE})")
         private double keep;
 
-        @Option(names = "--force", description = "also where less stays")
+        @Option(names = "--force", description = "evacuate even if less remains")
         private boolean force;
 
         @Override
@@ -119,7 +119,7 @@
         }
     }
 
-    @Command(name = "return", mixinStandardHelpOptions = true, description = "Its hosts are in service again.")
+    @Command(name = "return", mixinStandardHelpOptions = true, description = "Puts the hosts of a zone back into service.")
     static final class Return extends Moving {
         @Override
         int ask(Commands.Calling calling) throws Commands.NoAnswer, InterruptedException {
--- a/registry/src/test/java/mastdrift/registry/AgentListTest.java
+++ b/registry/src/test/java/mastdrift/registry/AgentListTest.java
@@ -8,6 +8,7 @@
 import mastdrift.common.Json;
 import org.junit.jupiter.api.Test;
 
+/** Which discovery lines an agent accepts, and what it passes on. */
 class AgentListTest {
 
     private final AgentList list = new AgentList();
@@ -33,7 +34,7 @@
         assertEquals(5, list.rev());
     }
 
-    /** A gateway that resumes is told of hosts that a whole list left out. */
+    /** Guards against a gateway that resumes a watch and keeps hosts that a later full list no longer contains. */
     @Test
     void aWholeListIsToldAsWhatItChanged() {
         list.take(line(5, true, "a", "b"));
--- a/registry/src/test/java/mastdrift/registry/CatalogueTest.java
+++ b/registry/src/test/java/mastdrift/registry/CatalogueTest.java
@@ -13,6 +13,7 @@
 import mastdrift.common.Json;
 import org.junit.jupiter.api.Test;
 
+/** Revisions, leases, snapshots and backups of the replicated state. */
 class CatalogueTest {
 
     private final Catalogue catalogue = new Catalogue();
@@ -95,7 +96,7 @@
         assertEquals(List.of("a0"), apply("renew", "uids", List.of("a0", "a1")).answer().get("unknown"));
     }
 
-    /** A leader that slept, or a clock that jumped, lets no more time pass than one tick may. */
+    /** Guards against leases that expire because the leader was paused or its clock jumped. */
     @Test
     void oneTickCountsForNoMoreThanItsBoundAndNeverBack() {
         put("a0", "x", Catalogue.TICK_MOST + 1);
@@ -130,13 +131,13 @@
                 .news();
         assertEquals(9, back.size());
         assertEquals("stale-back a0", back.get(0));
-        // Nine are back: the one that is still silent is one in ten, and goes.
+        // Nine have renewed: the last one is one in ten, below the limit, and is removed.
         pass(250);
         assertNull(catalogue.entry("a9"));
         assertEquals(0, catalogue.stale());
     }
 
-    /** A few at a time would empty a zone as well. */
+    /** Guards against a zone that is emptied by a few removals at a time. */
     @Test
     void theBoundIsOnWhatGoesWithinOneTermTogether() {
         for (int i = 0; i < 10; i++) {
@@ -161,7 +162,7 @@
         assertEquals(404, apply("remove", "uid", "a0").status());
     }
 
-    /** A snapshot of any state, read back, goes on as the state itself does. */
+    /** Restores snapshots of random states and compares their behaviour with the original. */
     @Test
     void aSnapshotReadBackGoesOnAsTheStateDid() {
         Random random = new Random(5);
--- a/registry/src/test/java/mastdrift/registry/DutiesTest.java
+++ b/registry/src/test/java/mastdrift/registry/DutiesTest.java
@@ -10,6 +10,7 @@
 import mastdrift.common.Json;
 import org.junit.jupiter.api.Test;
 
+/** Leases on duties: order of grants, expiry, fencing tokens and recorded steps. */
 class DutiesTest {
 
     private final Catalogue catalogue = new Catalogue();
@@ -62,7 +63,7 @@
         assertEquals(409, apply("record", "duty", "roll", "who", "a", "token", 1, "step", "s").status());
     }
 
-    /** A candidate that waits no more is passed over. */
+    /** Guards against granting a duty to a candidate that no longer waits. */
     @Test
     void whoHasGoneWhileWaitingIsPassedOver() {
         acquire("a");
@@ -116,8 +117,9 @@
     }
 
     /**
-     * Every order of five events (eight by {@code -DargLine=-Dduties.depth=8}) on one duty with two candidates, each of which acts on what it was told last: no token has
-     * two holders, tokens only grow, and no effect is accepted from a token once one of a newer was.
+     * Every sequence of five events (eight with {@code -DargLine=-Dduties.depth=8}) on one duty with two candidates,
+     * each of which uses the last token it was granted: no token has two holders, tokens only grow, and no effect is
+     * accepted with a token older than one already used.
      */
     @Test
     void inEveryOrderOfEventsTokensGrowAndAnOldOneHasNoEffect() {
--- a/registry/src/test/java/mastdrift/registry/EvacuationsTest.java
+++ b/registry/src/test/java/mastdrift/registry/EvacuationsTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Three zones of ten hosts each; time goes by in the log's ticks. */
+/** Evacuation and return of zones; three zones of ten hosts each, in log time. */
 class EvacuationsTest {
 
     private Catalogue catalogue = new Catalogue();
@@ -41,7 +41,8 @@
         }
     }
 
-    /** Guards against a zone that goes at once, and one that comes back because hosts say so, or a replica starts again. */
+    /** Guards against a gradual evacuation that happens at once, and against a zone that returns because hosts register
+        again or a replica restarts. */
     @Test
     void aZoneGoesStepByStepAndStaysOutUntilItIsToReturn() {
         assertEquals(200, apply("evacuate", "zone", "b", "over_ms", 10_000).status());
@@ -60,13 +61,13 @@
         assertEquals(11, out("b"));
         assertEquals(200, apply("return", "zone", "b", "over_ms", 4_000).status());
         pass(2_000);
-        assertTrue(out("b") > 0 && out("b") < 11, "still out: " + out("b"));
+        assertTrue(out("b") > 0 && out("b") < 11, "still terminating: " + out("b"));
         pass(2_000);
         assertEquals(0, out("b"));
         assertEquals(0, catalogue.zonesMoved());
     }
 
-    /** Guards against a second zone that leaves too little. */
+    /** Guards against evacuating a second zone when too little capacity would remain. */
     @Test
     void whatTheRestCanNotCarryIsRefusedUnlessForced() {
         assertEquals(200, apply("evacuate", "zone", "a").status());
@@ -79,7 +80,7 @@
         assertEquals(400, apply("evacuate", "zone", "nowhere").status());
     }
 
-    /** Guards against a return that puts hosts back to work which staff had drained for themselves. */
+    /** Guards against a return that puts hosts back into service which operators had drained. */
     @Test
     void whatStaffDrainStaysDrained() {
         apply("drain", "uid", "c1");
@@ -89,7 +90,7 @@
         assertEquals(2, out("c"));
     }
 
-    /** Guards against staff, or a holder, whose duty went to another meanwhile. */
+    /** Guards against an evacuation by a holder whose duty went to another process. */
     @Test
     void anOlderTokenMovesNoZone() {
         apply("acquire", "duty", "keeper", "who", "one", "span", 1000);
--- a/registry/src/test/java/mastdrift/registry/IdentityTest.java
+++ b/registry/src/test/java/mastdrift/registry/IdentityTest.java
@@ -13,6 +13,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
+/** Detection of folders that were wiped or replaced by an older copy. */
 class IdentityTest {
 
     @TempDir
--- a/registry/src/test/java/mastdrift/registry/MembersTest.java
+++ b/registry/src/test/java/mastdrift/registry/MembersTest.java
@@ -15,6 +15,7 @@
 import mastdrift.common.Json;
 import org.junit.jupiter.api.Test;
 
+/** Views and removals of members, by single commands and with the failure detector in simulated time. */
 class MembersTest {
 
     private final Catalogue catalogue = new Catalogue();
@@ -79,7 +80,7 @@
         assertEquals(410, report("p4", 1, List.of()));
     }
 
-    /** A report by one who does not watch it, or who takes it back, counts for nothing. */
+    /** Guards against counting reports of processes that are no watchers, and reports that were withdrawn. */
     @Test
     void onlyWatchersCountAndOnlyWhileTheySaySo() {
         ten();
@@ -139,7 +140,7 @@
         assertEquals(0, moved);
     }
 
-    // ---- the same code in simulated time
+    // ---- failure detectors in simulated time
 
     private static final long SECOND = 1_000_000;
 
@@ -155,11 +156,11 @@
         }
     }
 
-    /** What a play showed. */
+    /** Result of a simulation. */
     private record Shown(int removedAlive, List<Long> millis, int changes, double messages) { }
 
-    /** So many members in four zones, each call lost in that part of all cases each way; {@code cuts}: so many directed pairs
-        in a hundred never get through; after 20 s those named die. */
+    /** Simulates members in four zones. A call is lost with probability {@code loss} in each direction;
+        {@code cutPercent} of all directed pairs never reach each other; the victims die after 20 s. */
     private static Shown play(long seed, int count, double loss, int cuts, Set<String> victims, int seconds) {
         Random random = new Random(seed);
         Catalogue log = new Catalogue();
@@ -255,7 +256,7 @@
         assertEquals(0, shown.removedAlive, shown.toString());
     }
 
-    /** The baseline: a heartbeat a second to one place, gone after three that did not come. */
+    /** Baseline for comparison: one heartbeat per second to a central place, removal after three missed ones. */
     @Test
     void aFixedTimeOutRemovesTheLivingUnderLoss() {
         Random random = new Random(1);
@@ -267,7 +268,7 @@
                 removed += missed[i] == 3 ? 1 : 0;
             }
         }
-        System.out.println("members 100, loss 0.2, fixed time-out of 3 s: " + removed + " removed alive in 60 s");
+        System.out.println("members 100, loss 0.2, fixed timeout of 3 s: " + removed + " removed alive in 60 s");
         assertTrue(removed > 10, Integer.toString(removed));
     }
 }
--- a/registry/src/test/java/mastdrift/registry/RollTest.java
+++ b/registry/src/test/java/mastdrift/registry/RollTest.java
@@ -16,14 +16,14 @@
 import mastdrift.common.TomlFile;
 import org.junit.jupiter.api.Test;
 
-/** Rolls in simulated time: candidates that die, freeze in the middle of a step, are cut off and come back; the state machine,
-    the runner and the roll are those that run in processes. */
+/** Rolling restarts in simulated time with the production state machine, runner and work: candidates are killed, paused
+    within a step, partitioned and started again. */
 class RollTest {
 
     private static final long TERM = 1000;
     private static final long STEP = 50;
 
-    /** What a deliberately broken variant leaves out. */
+    /** The check that a deliberately broken variant leaves out. */
     private enum Broken { NOTHING, FENCE, OWN_CHECK, PROCESS }
 
     private static final class Gateway {
@@ -36,7 +36,7 @@
         private double badPart;
     }
 
-    /** All of it, with what has gone wrong. */
+    /** The simulated service, gateways and candidates, with the violations found. */
     private static final class World {
         private final Catalogue log = new Catalogue();
         private final Map<String, Gateway> gateways = new LinkedHashMap<>();
@@ -78,7 +78,7 @@
             return DutyRunner.state(Json.parse(Json.encode(log.duty("roll"))));
         }
 
-        /** Time passes, and who is not stopped or in the middle of something does what it does. */
+        /** Advances time; every candidate that is neither dead nor within a step runs once per time step. */
         void pass(long millis) {
             for (long left = millis; left > 0; left -= STEP) {
                 now += STEP * 1000;
@@ -109,13 +109,13 @@
             }
             gateway.newestToken = Math.max(gateway.newestToken, token);
             if (token < newestEffect) {
-                wrong.add("token " + token + " had an effect after " + newestEffect);
+                wrong.add("token " + token + " had an effect after token " + newestEffect);
             }
             newestEffect = Math.max(newestEffect, token);
             what.run();
             long out = gateways.values().stream().filter(each -> !each.ready).count();
             if (out > 1) {
-                wrong.add(out + " gateways out at once");
+                wrong.add(out + " gateways out of service at once");
             }
         }
 
@@ -125,7 +125,7 @@
         }
     }
 
-    /** The end of a candidate's process, wherever it is. */
+    /** Ends a candidate's process at any point. */
     private static final class Killed extends RuntimeException {
         private static final long serialVersionUID = 1L;
     }
@@ -138,7 +138,7 @@
         private boolean busy;
         private boolean dead;
         private boolean cut;
-        private double trouble;  // chance of one at each call
+        private double trouble;  // at each call
 
         Candidate(World world, String who, double rate) {
             this.world = world;
@@ -148,7 +148,7 @@
             world.candidates.add(this);
         }
 
-        /** Between any two things it may freeze for long, or die. */
+        /** May pause the candidate for long, or kill it, between two operations. */
         private void between() {
             double at = world.random.nextDouble();
             if (at < trouble / 8) {
@@ -166,7 +166,7 @@
             Catalogue.Applied applied = world.apply(command);
             between();
             if (trouble > 0 && world.random.nextDouble() < trouble) {
-                throw new IOException("done, and the answer is lost");
+                throw new IOException("applied, but the response was lost");
             }
             return new Answer(applied.status() == 200, Json.parse(Json.encode(applied.answer())));
         }
@@ -246,7 +246,8 @@
         }
     }
 
-    /** Three candidates among whom troubles happen for a while, those that die are started again, and after it all is well. */
+    /** Runs three candidates with faults for a while, replacing dead ones, and then without faults until the restart
+        ends. */
     private static World play(long seed, Broken broken) {
         World world = new World(seed, broken, 5);
         for (int i = 0; i < 20; i++) {
@@ -282,12 +283,12 @@
         }
     }
 
-    /** What guards against it is left out, and it is found. */
+    /** Guards against a simulation that would not notice a missing check. */
     @Test
     void eachGuardThatIsLeftOutIsMissed() {
         for (Broken broken : List.of(Broken.FENCE, Broken.OWN_CHECK, Broken.PROCESS)) {
             assertTrue(java.util.stream.LongStream.range(0, 300).anyMatch(seed -> !play(seed, broken).wrong.isEmpty()),
-                    broken + " was not missed");
+                    broken + " was not detected");
         }
     }
 
--- a/registry/src/test/java/mastdrift/registry/ServiceTest.java
+++ b/registry/src/test/java/mastdrift/registry/ServiceTest.java
@@ -36,8 +36,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** One replica alone, an agent and the commands, all in this process. Waits are for what has to come, and far longer than it
-    takes. */
+/** A single replica, an agent and the commands within this process. Timeouts are far longer than the awaited events
+    take. */
 class ServiceTest {
 
     private static final int WAIT_SECONDS = 60;
@@ -73,7 +73,7 @@
     private static void await(Callable<Boolean> come) throws Exception {
         long end = System.nanoTime() + WAIT_SECONDS * 1_000_000_000L;
         while (!come.call()) {
-            assertTrue(System.nanoTime() < end, "nothing came");
+            assertTrue(System.nanoTime() < end, "the condition was not met in time");
             Thread.sleep(10);
         }
     }
@@ -164,7 +164,7 @@
         assertTrue(out.contains("1 of 1 in service"), out);
     }
 
-    /** Joins as it starts, leaves as it ends, and is told why by the log. */
+    /** The agent joins on start and leaves on close; {@code members why} shows both. */
     @Test
     void anAgentWithANameIsAMember() throws Exception {
         start("one");
@@ -182,7 +182,7 @@
         assertEquals(1, run("members", "why", "nobody"));
     }
 
-    /** Guards against a member that ends while its join is under way, and is shown as present from then on. */
+    /** Guards against a member that is stopped while its join is in progress and stays in the view. */
     @Test
     void whoEndsInTheMidstOfJoiningLeaves() throws Exception {
         CountDownLatch joining = new CountDownLatch(1);
@@ -190,7 +190,7 @@
         EventLoopGroup loops = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         HttpServer service = HttpServer.listen(loops, new InetSocketAddress("127.0.0.1", 0), call -> {
             if (call.path().endsWith("/join")) {
-                joining.countDown();  // and no answer
+                joining.countDown();  // without a response
             } else if (call.path().endsWith("/leave")) {
                 left.countDown();
                 call.respondJson(200, "{}");
@@ -205,7 +205,8 @@
         loops.shutdownGracefully(0, 0, TimeUnit.SECONDS);
     }
 
-    /** Guards against agents that are lost with the addresses that they were configured with, also over a start of theirs. */
+    /** Guards against agents that lose the service when their configured replica addresses are gone, also after a
+        restart. */
     @Test
     void anAgentFollowsAServiceThatMoves() throws Exception {
         int to = port();
@@ -243,7 +244,7 @@
         assertTrue(err.startsWith("no replica answers"), err);
     }
 
-    /** The entries, their revision and who holds a duty outlast the process. */
+    /** Guards against a replica that loses entries or revisions when it restarts. */
     @Test
     void aReplicaGoesOnFromItsFolder() throws Exception {
         start("one");
@@ -286,7 +287,7 @@
         }
     }
 
-    /** Guards against gateways of a large fleet that find no room at the one agent of their machine. */
+    /** Guards against gateways of a large fleet being refused by the one agent of their machine. */
     @Test
     void aThousandGatewaysWatchOneAgent() throws Exception {
         start("one");
--- a/registry/src/test/java/mastdrift/registry/SweepTest.java
+++ b/registry/src/test/java/mastdrift/registry/SweepTest.java
@@ -11,7 +11,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** The sweeper against the service's own state; a zone of ten hosts whose leases are all over. */
+/** The sweeper on the replicated state: a zone of ten hosts whose leases have all expired. */
 class SweepTest {
 
     private final Catalogue catalogue = new Catalogue();
@@ -48,7 +48,7 @@
         assertEquals(10, catalogue.stale());
     }
 
-    /** The state after that many steps, each by the holder of that token. */
+    /** Runs a number of steps with a token and returns the state after them. */
     private Map<String, Object> steps(Map<String, Object> state, int count, long token) throws IOException {
         Map<String, Object> now = state;
         for (int i = 0; i < count; i++) {
@@ -61,7 +61,7 @@
         return now;
     }
 
-    /** Guards against a zone that is cut off from the service, and serves, being taken off the list. */
+    /** Guards against removing hosts that serve but are partitioned from the list service. */
     @Test
     void hostsThatAnswerStayAndThoseThatDoNotAreTakenOffAfterThreeLooks() throws IOException {
         aZoneThatLapses();
@@ -70,12 +70,13 @@
             alive.add("127.0.0.1:" + (9000 + i));
         }
         Map<String, Object> state = steps(Map.of(), 20, 1);
-        assertEquals(10, catalogue.size(), "none was silent three times yet");
+        assertEquals(10, catalogue.size(), "no host has failed three probes yet");
         steps(state, 200, 1);
         assertEquals(6, catalogue.size());
     }
 
-    /** Guards against a holder that lost the duty, and against a host that registered anew between look and removal. */
+    /** Guards against removal by a holder that lost the duty, and of a host that registered again between probe and
+        removal. */
     @Test
     void anOlderTokenAndAnOlderRevisionTakeNobodyOff() throws IOException {
         aZoneThatLapses();
@@ -88,6 +89,6 @@
         DutyWork.Step third = sweep.next(Map.of("state", state));
         apply("put", "entry", Map.of("uid", third.facts().get("uid"), "endpoint", "127.0.0.1:1", "az", "a"), "lease_ms", 1000);
         sweep.act(third, new LinkedHashMap<>(state), 2, () -> { });
-        assertTrue(catalogue.entry(third.facts().get("uid").toString()) != null, "it had come back");
+        assertTrue(catalogue.entry(third.facts().get("uid").toString()) != null, "the host had registered again");
     }
 }
