--- a/cli/src/main/java/mastdrift/cli/Springspar.java
+++ b/cli/src/main/java/mastdrift/cli/Springspar.java
@@ -9,7 +9,7 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.concurrent.Callable;
-import mastdrift.registry.Commands;
+import mastdrift.registry.RegistryCommands;
 import mastdrift.registry.DutyCommands;
 import mastdrift.registry.MemberCommands;
 import mastdrift.registry.ZoneCommands;
@@ -26,7 +26,7 @@
         description = "Starts a gateway and what goes with it, and calls them.",
         subcommands = {Springspar.Serve.class, Springspar.Adapter.class, Springspar.Status.class, Springspar.Metrics.class,
             Springspar.Standby.class, Springspar.Active.class, Springspar.Drain.class, Springspar.Completion.class,
-            Commands.Registry.class, Commands.StartAgent.class, Commands.Endpoints.class, DutyCommands.Duty.class,
+            RegistryCommands.Registry.class, RegistryCommands.StartAgent.class, RegistryCommands.Endpoints.class, DutyCommands.Duty.class,
             DutyCommands.RollCommand.class, ZoneCommands.Zone.class, MemberCommands.Members.class,
             CommandLine.HelpCommand.class})
 public final class Springspar implements Runnable {
@@ -46,7 +46,7 @@
 
     /** Runs and exits with the status. */
     public static void main(String[] args) {
-        mastdrift.registry.Main.logToOutput();
+        mastdrift.registry.Main.configureLogging();
         int status = run(args, System.getenv(), new PrintWriter(System.out, true, StandardCharsets.UTF_8),
                 new PrintWriter(System.err, true, StandardCharsets.UTF_8));
         if (status != YES) {
--- a/registry/src/main/java/mastdrift/registry/AgentList.java
+++ b/registry/src/main/java/mastdrift/registry/AgentList.java
@@ -12,65 +12,67 @@
 final class AgentList {
 
     /** Result of applying a line. */
-    enum Taken { NEWER, SAME, OLDER, EMPTY, SPOILT }
+    enum ApplyResult { NEWER, SAME, OLDER, EMPTY, SPOILT }
 
-    private final Listing listing = new Listing();
+    private final EndpointList endpoints = new EndpointList();
 
     long rev() {
-        return listing.rev();
+        return endpoints.rev();
     }
 
     int size() {
-        return listing.size();
+        return endpoints.size();
     }
 
-    Listing.Line since(long from) {
-        return listing.since(from);
+    EndpointList.UpdateLine updateSince(long revision) {
+        return endpoints.updateSince(revision);
     }
 
     /** Applies a discovery line unless it has to be refused. */
-    Taken take(String line) {
+    ApplyResult apply(String line) {
         long rev;
-        boolean all;
+        boolean full;
         List<Entry> targets;
         try {
             Map<String, Object> object = Json.parse(line);
             rev = ((Number) object.get("rev")).longValue();
-            all = (Boolean) object.get("all");
-            targets = ((List<?>) object.get("targets")).stream().map(target -> Entry.of((Map<?, ?>) target)).toList();
+            full = (Boolean) object.get("all");
+            targets = ((List<?>) object.get("targets")).stream().map(target -> Entry.parse((Map<?, ?>) target))
+                    .toList();
         } catch (IllegalArgumentException | ClassCastException | NullPointerException e) {
-            return Taken.SPOILT;
+            return ApplyResult.SPOILT;
         }
-        if (rev < listing.rev()) {
-            return Taken.OLDER;
+        if (rev < endpoints.rev()) {
+            return ApplyResult.OLDER;
         }
-        if (all && targets.isEmpty() && listing.size() > 0) {
-            return Taken.EMPTY;
+        if (full && targets.isEmpty() && endpoints.size() > 0) {
+            return ApplyResult.EMPTY;
         }
-        if (rev == listing.rev() && listing.rev() > 0) {
-            return Taken.SAME;
+        if (rev == endpoints.rev() && endpoints.rev() > 0) {
+            return ApplyResult.SAME;
         }
-        Set<String> named = new HashSet<>();
+        Set<String> listed = new HashSet<>();
         for (Entry entry : targets) {
-            named.add(entry.uid());
+            listed.add(entry.uid());
             if (entry.state().equals(Entry.TERMINATED)) {
-                if (listing.get(entry.uid()) != null) {
-                    listing.remove(entry.uid(), rev);
+                if (endpoints.get(entry.uid()) != null) {
+                    endpoints.remove(entry.uid(), rev);
                 }
-            } else if (!entry.equals(listing.get(entry.uid()))) {
-                listing.put(entry, rev);
+            } else if (!entry.equals(endpoints.get(entry.uid()))) {
+                endpoints.put(entry, rev);
             }
         }
-        if (all) {
-            List<String> gone = listing.entries().stream().map(Entry::uid).filter(uid -> !named.contains(uid)).toList();
-            gone.forEach(uid -> listing.remove(uid, rev));
+        if (full) {
+            List<String> removed = endpoints.entries().stream().map(Entry::uid).filter(uid -> !listed.contains(uid))
+                    .toList();
+            removed.forEach(uid -> endpoints.remove(uid, rev));
         }
-        listing.advance(rev);
-        return Taken.NEWER;
+        endpoints.advanceTo(rev);
+        return ApplyResult.NEWER;
     }
 
     /** The list as it is saved to a file. */
-    byte[] bytes() {
-        return listing.whole().text().getBytes(StandardCharsets.UTF_8);
+    byte[] encode() {
+        return endpoints.fullUpdate().json().getBytes(StandardCharsets.UTF_8);
     }
 }
--- a/registry/src/main/java/mastdrift/registry/Tenure.java
+++ b/registry/src/main/java/mastdrift/registry/ClientLease.java
@@ -5,40 +5,40 @@
  * shorter than the lease in the log. Safety doesn't depend on it: targets of an action refuse older fencing tokens.
  * Times are microseconds.
  */
-final class Tenure {
+final class ClientLease {
 
-    private final long span;
+    private final long durationMicros;
     private long token;
-    private long until;
+    private long expiresAt;
     private long renewAt;
 
     /** {@code durationMicros} is the duration of the lease in the log. */
-    Tenure(long span) {
-        this.span = span;
+    ClientLease(long durationMicros) {
+        this.durationMicros = durationMicros;
     }
 
     /** The service granted or renewed the lease in response to a request sent at {@code requestedAt}. */
-    void granted(long askedAt, long given) {
-        token = given;
-        until = askedAt + span - span / 10;
-        renewAt = askedAt + span / 3;
+    void granted(long requestedAt, long newToken) {
+        token = newToken;
+        expiresAt = requestedAt + durationMicros - durationMicros / 10;
+        renewAt = requestedAt + durationMicros / 3;
     }
 
-    void lost() {
+    void clear() {
         token = 0;
     }
 
     /** Whether the holder may act now. */
-    boolean holds(long now) {
-        return token > 0 && now < until;
+    boolean isValid(long now) {
+        return token > 0 && now < expiresAt;
     }
 
     /** Whether the lease was granted and is not known to be lost; it may have expired. */
-    boolean believes() {
+    boolean isGranted() {
         return token > 0;
     }
 
-    boolean renews(long now) {
+    boolean isRenewalDue(long now) {
         return token > 0 && now >= renewAt;
     }
 
--- a/registry/src/main/java/mastdrift/registry/DutyCommands.java
+++ b/registry/src/main/java/mastdrift/registry/DutyCommands.java
@@ -29,12 +29,13 @@
     /** Duty of probing and removing stale entries. */
     static final String SWEEP = "sweep";
     private static final Logger LOG = LoggerFactory.getLogger(DutyRunner.class);
-    private static final int CALL_MILLIS = 600;
+    private static final int REQUEST_TIMEOUT_MILLIS = 600;
 
     private DutyCommands() { }
 
     /** Commands for duties. */
-    @Command(name = "duty", mixinStandardHelpOptions = true, description = "Commands for duties, work that one process does at a time.",
+    @Command(name = "duty", mixinStandardHelpOptions = true,
+            description = "Commands for duties, work that one process does at a time.",
             subcommands = {Run.class, Show.class})
     public static final class Duty implements Runnable {
 
@@ -48,9 +49,9 @@
     }
 
     /** Pause of a runner after a round, in milliseconds. */
-    static long pause(DutyRunner.Turn turn) {
-        return switch (turn) {
-            case WAITS -> 200;
+    static long pauseMillis(DutyRunner.TurnResult result) {
+        return switch (result) {
+            case NOT_HELD -> 200;
             case WORKED -> 0;
             case IDLE -> 100;
             case FAILED -> 150;
@@ -58,7 +59,7 @@
     }
 
     @Command(name = "run", mixinStandardHelpOptions = true,
-            description = "Waits for a duty and does its work while holding it; a graceful shutdown releases it at once.")
+            description = "Waits for a duty and does its work while holding it; a graceful shutdown releases it.")
     static final class Run implements Callable<Integer> {
 
         @Parameters(index = "0", paramLabel = "NAME", description = "the duty: roll or sweep")
@@ -69,11 +70,11 @@
         private List<String> registry;
 
         @Option(names = "--who", paramLabel = "NAME", description = "name of this candidate (default: a random one)")
-        private String who = "runner-" + UUID.randomUUID();
+        private String candidate = "runner-" + UUID.randomUUID();
 
         @Option(names = "--term-ms", paramLabel = "MILLIS", defaultValue = "3000",
                 description = "duration of the lease (default: ${DEFAULT-VALUE})")
-        private long term;
+        private long termMillis;
 
         @Spec
         private CommandLine.Model.CommandSpec spec;
@@ -83,56 +84,61 @@
             if (!name.equals(ROLL) && !name.equals(SWEEP)) {
                 throw new CommandLine.ParameterException(spec.commandLine(), "expected roll or sweep, not " + name);
             }
-            Main.endOnFaults();
-            CountDownLatch end = new CountDownLatch(1);
-            CountDownLatch ended = new CountDownLatch(1);
+            Main.exitOnUncaughtException();
+            CountDownLatch stop = new CountDownLatch(1);
+            CountDownLatch stopped = new CountDownLatch(1);
             Runtime.getRuntime().addShutdownHook(new Thread(() -> {
-                end.countDown();
+                stop.countDown();
                 try {
-                    ended.await(5, TimeUnit.SECONDS);
+                    stopped.await(5, TimeUnit.SECONDS);
                 } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
                 }
             }));
-            run(name, who, term, registry, Clock.SYSTEM, end);
-            ended.countDown();
-            return Commands.YES;
+            runDuty(name, candidate, termMillis, registry, Clock.SYSTEM, stop);
+            stopped.countDown();
+            return RegistryCommands.EXIT_SUCCESS;
         }
     }
 
     /** Runs a candidate for a duty until {@code stop} opens, then releases the duty. */
-    public static void run(String name, String who, long termMillis, List<String> registry, Clock clock, CountDownLatch end)
+    public static void runDuty(String name, String candidate, long termMillis, List<String> registry, Clock clock,
+            CountDownLatch stop)
             throws InterruptedException {
-        HttpReplicas replicas = new HttpReplicas(registry, Duration.ofMillis(CALL_MILLIS));
-        DutyWork work = name.equals(SWEEP) ? new Sweep(new HttpEntries(replicas, name)) : new Roll(new HttpGateways(name));
-        DutyRunner runner = new DutyRunner(name, who, termMillis, new HttpDutyService(replicas), work, clock,
+        RegistryHttpClient replicas = new RegistryHttpClient(registry, Duration.ofMillis(REQUEST_TIMEOUT_MILLIS));
+        DutyWork work = name.equals(SWEEP) ? new StaleEntrySweeper(new HttpEntryService(replicas, name))
+                : new RollingRestart(new HttpGatewayClient(name));
+        DutyRunner runner = new DutyRunner(name, candidate, termMillis, new HttpDutyService(replicas), work, clock,
                 line -> LOG.info("{}", line));
-        LOG.info("candidate {} for {}", who, name);
-        while (!end.await(0, TimeUnit.MILLISECONDS)) {
-            end.await(pause(runner.turn()), TimeUnit.MILLISECONDS);
+        LOG.info("candidate {} for {}", candidate, name);
+        while (!stop.await(0, TimeUnit.MILLISECONDS)) {
+            stop.await(pauseMillis(runner.runOnce()), TimeUnit.MILLISECONDS);
         }
-        runner.stop();
+        runner.release();
     }
 
-    @Command(name = "show", mixinStandardHelpOptions = true, description = "Shows who holds a duty and who waits for it.")
-    static final class Show extends Commands.Asking {
+    @Command(name = "show", mixinStandardHelpOptions = true,
+            description = "Shows who holds a duty and who waits for it.")
+    static final class Show extends RegistryCommands.ServiceCommand {
 
         @Parameters(index = "0", paramLabel = "NAME")
         private String name;
 
         @Override
-        int ask(Commands.Calling calling) throws Commands.NoAnswer, InterruptedException {
-            Commands.Calling.Answer answer = calling.call("GET", "/v1/duties/" + name, null);
-            Map<String, Object> body = answer.body();
-            return calling.tell(answer, name + ": holder " + body.get("holder") + ", token " + body.get("token") + ", waiting "
+        int execute(RegistryCommands.ServiceConnection service) throws RegistryCommands.NoAnswerException,
+                InterruptedException {
+            RegistryCommands.ServiceConnection.Response response = service.call("GET", "/v1/duties/" + name, null);
+            Map<String, Object> body = response.body();
+            return service.print(response, name + ": holder " + body.get("holder") + ", token " + body.get("token")
+                    + ", waiting "
                     + body.get("waiting"));
         }
     }
 
     /** Commands for rolling restarts. */
     @Command(name = "roll", mixinStandardHelpOptions = true,
-            description = "Controls rolling restarts of gateways, done by the holder of the duty 'roll': each gateway in turn is "
-                    + "taken out of service, replaced and put back.",
+            description = "Controls rolling restarts of gateways, done by the holder of the duty 'roll': each gateway "
+                    + "in turn is taken out of service, replaced and put back.",
             subcommands = {Start.class, Status.class, Pause.class, Resume.class, Abort.class})
     public static final class RollCommand implements Runnable {
 
@@ -145,25 +151,28 @@
         }
     }
 
-    private static int order(Commands.Calling calling, String what, Map<String, Object> more)
-            throws Commands.NoAnswer, InterruptedException {
-        Map<String, Object> order = new LinkedHashMap<>(more);
+    private static int placeOrder(RegistryCommands.ServiceConnection service, String action, Map<String, Object> fields)
+            throws RegistryCommands.NoAnswerException, InterruptedException {
+        Map<String, Object> order = new LinkedHashMap<>(fields);
         order.put("id", UUID.randomUUID().toString());
-        order.put("what", what);
-        Commands.Calling.Answer answer = calling.call("POST", "/v1/duties/" + ROLL + "/order", Json.encode(Map.of("order", order)));
-        return calling.tell(answer, what + " ordered, number " + answer.body().get("number"));
+        order.put("what", action);
+        RegistryCommands.ServiceConnection.Response response = service.call("POST", "/v1/duties/" + ROLL + "/order",
+                Json.encode(Map.of("order", order)));
+        return service.print(response, action + " ordered, number " + response.body().get("number"));
     }
 
-    @Command(name = "start", mixinStandardHelpOptions = true, description = "Starts the rolling restart that a plan file describes.")
-    static final class Start extends Commands.Asking {
+    @Command(name = "start", mixinStandardHelpOptions = true,
+            description = "Starts the rolling restart that a plan file describes.")
+    static final class Start extends RegistryCommands.ServiceCommand {
 
         @Parameters(index = "0", paramLabel = "PLAN", description = "plan file, TOML")
         private Path file;
 
         @Override
-        int ask(Commands.Calling calling) throws Commands.NoAnswer, InterruptedException {
+        int execute(RegistryCommands.ServiceConnection service) throws RegistryCommands.NoAnswerException,
+                InterruptedException {
             try {
-                return order(calling, "start", Map.of("plan", RollPlan.read(file)));
+                return placeOrder(service, "start", Map.of("plan", RollingRestartPlan.read(file)));
             } catch (TomlFile.ValidationException | IOException e) {
                 throw new IllegalArgumentException(e.getMessage(), e);
             }
@@ -171,40 +180,47 @@
     }
 
     @Command(name = "status", mixinStandardHelpOptions = true, description = "Shows the progress.")
-    static final class Status extends Commands.Asking {
+    static final class Status extends RegistryCommands.ServiceCommand {
         @Override
-        int ask(Commands.Calling calling) throws Commands.NoAnswer, InterruptedException {
-            Commands.Calling.Answer answer = calling.call("GET", "/v1/duties/" + ROLL, null);
-            Map<String, Object> state = DutyRunner.state(answer.body());
-            int all = state.get("plan") instanceof Map<?, ?> plan && plan.get("gateways") instanceof List<?> gateways
+        int execute(RegistryCommands.ServiceConnection service) throws RegistryCommands.NoAnswerException,
+                InterruptedException {
+            RegistryCommands.ServiceConnection.Response response = service.call("GET", "/v1/duties/" + ROLL, null);
+            Map<String, Object> state = DutyRunner.stateOf(response.body());
+            int gatewayCount = state.get("plan") instanceof Map<?, ?> plan
+                    && plan.get("gateways") instanceof List<?> gateways
                     ? gateways.size() : 0;
-            return calling.tell(answer, state.getOrDefault("phase", "idle") + ", " + state.getOrDefault("at", 0) + " of " + all
-                    + " gateways, by " + answer.body().get("holder")
+            return service.print(response, state.getOrDefault("phase", "idle") + ", " + state.getOrDefault("at", 0)
+                    + " of " + gatewayCount
+                    + " gateways, by " + response.body().get("holder")
                     + (state.get("why") == null ? "" : ": " + state.get("why")));
         }
     }
 
     @Command(name = "pause", mixinStandardHelpOptions = true, description = "Pauses after the current step.")
-    static final class Pause extends Commands.Asking {
+    static final class Pause extends RegistryCommands.ServiceCommand {
         @Override
-        int ask(Commands.Calling calling) throws Commands.NoAnswer, InterruptedException {
-            return order(calling, "pause", Map.of());
+        int execute(RegistryCommands.ServiceConnection service) throws RegistryCommands.NoAnswerException,
+                InterruptedException {
+            return placeOrder(service, "pause", Map.of());
         }
     }
 
     @Command(name = "resume", mixinStandardHelpOptions = true, description = "Resumes after a pause.")
-    static final class Resume extends Commands.Asking {
+    static final class Resume extends RegistryCommands.ServiceCommand {
         @Override
-        int ask(Commands.Calling calling) throws Commands.NoAnswer, InterruptedException {
-            return order(calling, "resume", Map.of());
+        int execute(RegistryCommands.ServiceConnection service) throws RegistryCommands.NoAnswerException,
+                InterruptedException {
+            return placeOrder(service, "resume", Map.of());
         }
     }
 
-    @Command(name = "abort", mixinStandardHelpOptions = true, description = "Puts the current gateway back into service and ends.")
-    static final class Abort extends Commands.Asking {
+    @Command(name = "abort", mixinStandardHelpOptions = true,
+            description = "Puts the current gateway back into service and ends.")
+    static final class Abort extends RegistryCommands.ServiceCommand {
         @Override
-        int ask(Commands.Calling calling) throws Commands.NoAnswer, InterruptedException {
-            return order(calling, "abort", Map.of());
+        int execute(RegistryCommands.ServiceConnection service) throws RegistryCommands.NoAnswerException,
+                InterruptedException {
+            return placeOrder(service, "abort", Map.of());
         }
     }
 }
--- a/registry/src/main/java/mastdrift/registry/DutyRunner.java
+++ b/registry/src/main/java/mastdrift/registry/DutyRunner.java
@@ -14,109 +14,110 @@
 final class DutyRunner {
 
     /** Result of a round; decides on the pause before the next. */
-    enum Turn { WAITS, WORKED, IDLE, FAILED }
+    enum TurnResult { NOT_HELD, WORKED, IDLE, FAILED }
 
     private final String duty;
-    private final String who;
-    private final long spanMillis;
+    private final String candidate;
+    private final long leaseMillis;
     private final DutyService service;
     private final DutyWork work;
     private final Clock clock;
-    private final Consumer<String> events;
-    private final Tenure tenure;
+    private final Consumer<String> eventLog;
+    private final ClientLease lease;
 
     /** {@code eventLog} gets a line for each grant, loss and step. */
-    DutyRunner(String duty, String who, long spanMillis, DutyService service, DutyWork work, Clock clock,
-            Consumer<String> events) {
+    DutyRunner(String duty, String candidate, long leaseMillis, DutyService service, DutyWork work, Clock clock,
+            Consumer<String> eventLog) {
         this.duty = duty;
-        this.who = who;
-        this.spanMillis = spanMillis;
+        this.candidate = candidate;
+        this.leaseMillis = leaseMillis;
         this.service = service;
         this.work = work;
         this.clock = clock;
-        this.events = events;
-        tenure = new Tenure(spanMillis * 1000);
+        this.eventLog = eventLog;
+        lease = new ClientLease(leaseMillis * 1000);
     }
 
-    boolean holds() {
-        return tenure.holds(clock.monotonicMicros());
+    boolean holdsDuty() {
+        return lease.isValid(clock.monotonicMicros());
     }
 
     /** Acquires or renews the lease, then does at most one step of the work. */
-    Turn turn() {
+    TurnResult runOnce() {
         try {
-            if (!tenure.believes()) {
-                long asked = clock.monotonicMicros();
-                DutyService.Answer answer = service.acquire(duty, who, spanMillis);
-                if (answer.token() == 0) {
-                    return Turn.WAITS;
+            if (!lease.isGranted()) {
+                long requestedAt = clock.monotonicMicros();
+                DutyService.Response response = service.acquire(duty, candidate, leaseMillis);
+                if (response.token() == 0) {
+                    return TurnResult.NOT_HELD;
                 }
-                tenure.granted(asked, answer.token());
-                events.accept("duty-held " + duty + " token " + tenure.token());
+                lease.granted(requestedAt, response.token());
+                eventLog.accept("duty-held " + duty + " token " + lease.token());
             }
-            keep();
-            DutyService.Answer read = service.read(duty);
-            Map<String, Object> state = state(read.body());
-            DutyWork.Step step = work.next(read.body());
+            renewIfDue();
+            DutyService.Response current = service.read(duty);
+            Map<String, Object> state = stateOf(current.body());
+            DutyWork.Step step = work.next(current.body());
             if (step == null) {
-                return Turn.IDLE;
+                return TurnResult.IDLE;
             }
-            check();
-            Map<String, Object> begun = new LinkedHashMap<>(state);
-            begun.put("begun", step.id());
-            record("begin " + step.id(), begun);
-            Map<String, Object> after = new LinkedHashMap<>(work.act(step, begun, tenure.token(), this::check));
-            after.remove("begun");
-            keep();
-            record(step.id(), after);
-            return Turn.WORKED;
-        } catch (DutyWork.Lost e) {
-            tenure.lost();
-            events.accept("duty-lost " + duty + ": " + e.getMessage());
-            return Turn.WAITS;
+            requireLease();
+            Map<String, Object> started = new LinkedHashMap<>(state);
+            started.put("begun", step.id());
+            record("begin " + step.id(), started);
+            Map<String, Object> newState = new LinkedHashMap<>(work.act(step, started, lease.token(),
+                    this::requireLease));
+            newState.remove("begun");
+            renewIfDue();
+            record(step.id(), newState);
+            return TurnResult.WORKED;
+        } catch (DutyWork.LeaseLostException e) {
+            lease.clear();
+            eventLog.accept("duty-lost " + duty + ": " + e.getMessage());
+            return TurnResult.NOT_HELD;
         } catch (IOException e) {
-            events.accept("duty-failed " + duty + ": " + e.getMessage());
-            return Turn.FAILED;
+            eventLog.accept("duty-failed " + duty + ": " + e.getMessage());
+            return TurnResult.FAILED;
         }
     }
 
     /** Renews the lease if it is time; throws LeaseLostException if the service refuses. */
-    private void keep() throws IOException {
-        if (tenure.renews(clock.monotonicMicros())) {
-            long asked = clock.monotonicMicros();
-            if (!service.hold(duty, who, tenure.token()).yes()) {
-                throw new DutyWork.Lost("another process holds it");
+    private void renewIfDue() throws IOException {
+        if (lease.isRenewalDue(clock.monotonicMicros())) {
+            long requestedAt = clock.monotonicMicros();
+            if (!service.renew(duty, candidate, lease.token()).success()) {
+                throw new DutyWork.LeaseLostException("another process holds it");
             }
-            tenure.granted(asked, tenure.token());
+            lease.granted(requestedAt, lease.token());
         }
-        check();
+        requireLease();
     }
 
-    private void check() throws DutyWork.Lost {
-        if (!tenure.holds(clock.monotonicMicros())) {
-            throw new DutyWork.Lost("its lease has expired");
+    private void requireLease() throws DutyWork.LeaseLostException {
+        if (!lease.isValid(clock.monotonicMicros())) {
+            throw new DutyWork.LeaseLostException("its lease has expired");
         }
     }
 
     private void record(String step, Map<String, Object> state) throws IOException {
-        if (!service.record(duty, who, tenure.token(), step, state).yes()) {
-            throw new DutyWork.Lost("step " + step + " was refused: another process holds the duty");
+        if (!service.record(duty, candidate, lease.token(), step, state).success()) {
+            throw new DutyWork.LeaseLostException("step " + step + " was refused: another process holds the duty");
         }
-        events.accept("duty-recorded " + duty + " " + step + " token " + tenure.token());
+        eventLog.accept("duty-recorded " + duty + " " + step + " token " + lease.token());
     }
 
     @SuppressWarnings("unchecked")
-    static Map<String, Object> state(Map<String, Object> duty) {
+    static Map<String, Object> stateOf(Map<String, Object> duty) {
         return duty.get("state") instanceof Map<?, ?> state ? (Map<String, Object>) state : Map.of();
     }
 
     /** Releases the duty, so that the next candidate gets it at once. */
-    void stop() {
+    void release() {
         try {
-            service.release(duty, who, tenure.token());
+            service.release(duty, candidate, lease.token());
         } catch (IOException e) {
-            events.accept("duty-not-released " + duty + ": " + e.getMessage());
+            eventLog.accept("duty-not-released " + duty + ": " + e.getMessage());
         }
-        tenure.lost();
+        lease.clear();
     }
 }
--- a/registry/src/main/java/mastdrift/registry/DutyService.java
+++ b/registry/src/main/java/mastdrift/registry/DutyService.java
@@ -8,7 +8,7 @@
 interface DutyService {
 
     /** The service's response: whether it was a success, and its body. */
-    record Answer(boolean yes, Map<String, Object> body) {
+    record Response(boolean success, Map<String, Object> body) {
 
         long token() {
             return body.get("token") instanceof Number token ? token.longValue() : 0;
@@ -16,15 +16,16 @@
     }
 
     /** Acquires a duty, or keeps the candidate's place in its queue; token 0 means not granted. */
-    Answer acquire(String duty, String who, long span) throws IOException;
+    Response acquire(String duty, String candidate, long leaseMillis) throws IOException;
 
-    Answer hold(String duty, String who, long token) throws IOException;
+    Response renew(String duty, String candidate, long token) throws IOException;
 
-    Answer release(String duty, String who, long token) throws IOException;
+    Response release(String duty, String candidate, long token) throws IOException;
 
     /** Records a step of the work by its id, and the state after it. */
-    Answer record(String duty, String who, long token, String step, Map<String, Object> state) throws IOException;
+    Response record(String duty, String candidate, long token, String step, Map<String, Object> state)
+            throws IOException;
 
     /** Reads a duty with its state and its orders, consistently with the log. */
-    Answer read(String duty) throws IOException;
+    Response read(String duty) throws IOException;
 }
--- a/registry/src/main/java/mastdrift/registry/DutyWork.java
+++ b/registry/src/main/java/mastdrift/registry/DutyWork.java
@@ -8,25 +8,25 @@
 interface DutyWork {
 
     /** A step: its unique id, the kind of action and its parameters. */
-    record Step(String id, String what, Map<String, Object> facts) { }
+    record Step(String id, String what, Map<String, Object> parameters) { }
 
     /** Returns the next step; null if there is nothing to do now. {@code duty} includes the operators' orders. */
     Step next(Map<String, Object> duty) throws IOException;
 
     /** Executes a step idempotently and returns the state after it. The target of an action gets the fencing token;
         {@code leaseCheck} has to be called before each effect. */
-    Map<String, Object> act(Step step, Map<String, Object> state, long token, Held mayAct) throws IOException;
+    Map<String, Object> act(Step step, Map<String, Object> state, long token, LeaseCheck leaseCheck) throws IOException;
 
     /** Throws {@link LeaseLostException} once the duty is no longer held. */
-    interface Held {
-        void check() throws Lost;
+    interface LeaseCheck {
+        void check() throws LeaseLostException;
     }
 
     /** Thrown when the lease on the duty expired or went to another process. */
-    final class Lost extends IOException {
+    final class LeaseLostException extends IOException {
         private static final long serialVersionUID = 1L;
 
-        Lost(String message) {
+        LeaseLostException(String message) {
             super(message);
         }
     }
--- a/registry/src/main/java/mastdrift/registry/Entry.java
+++ b/registry/src/main/java/mastdrift/registry/Entry.java
@@ -23,12 +23,12 @@
     static final String TERMINATING = "terminating";
     static final String TERMINATED = "terminated";
 
-    Entry in(String other) {
-        return new Entry(uid, endpoint, zone, model, podGroup, other, capacityHint, bootMs);
+    Entry withState(String newState) {
+        return new Entry(uid, endpoint, zone, model, podGroup, newState, capacityHint, bootMs);
     }
 
     /** The JSON object that lists contain. */
-    public Map<String, Object> target() {
+    public Map<String, Object> toTarget() {
         Map<String, Object> target = new LinkedHashMap<>();
         target.put("uid", uid);
         target.put("endpoint", endpoint);
@@ -42,43 +42,43 @@
     }
 
     /** Parses a list's or caller's JSON object; throws IllegalArgumentException that names every error. */
-    public static Entry of(Map<?, ?> target) {
-        StringBuilder faults = new StringBuilder();
-        String uid = text(target, "uid", null, faults);
-        String endpoint = text(target, "endpoint", null, faults);
+    public static Entry parse(Map<?, ?> target) {
+        StringBuilder errors = new StringBuilder();
+        String uid = text(target, "uid", null, errors);
+        String endpoint = text(target, "endpoint", null, errors);
         int colon = endpoint.lastIndexOf(':');
         if (!endpoint.isEmpty() && (colon < 1 || !endpoint.substring(colon + 1).matches("[0-9]{1,5}"))) {
-            faults.append("; endpoint: expected address:port, not ").append(endpoint);
+            errors.append("; endpoint: expected address:port, not ").append(endpoint);
         }
-        String state = text(target, "state", IN_SERVICE, faults);
+        String state = text(target, "state", IN_SERVICE, errors);
         if (!state.equals(IN_SERVICE) && !state.equals(TERMINATING) && !state.equals(TERMINATED)) {
-            faults.append("; state: expected in_service or terminating, not ").append(state);
+            errors.append("; state: expected in_service or terminating, not ").append(state);
         }
-        Entry entry = new Entry(uid, endpoint, text(target, "az", "", faults), text(target, "model", "", faults),
-                (long) number(target, "pod_group", 0, faults), state, number(target, "capacity_hint", 1, faults),
-                (long) number(target, "boot_ms", 0, faults));
-        if (faults.length() > 0) {
-            throw new IllegalArgumentException(faults.substring(2));
+        Entry entry = new Entry(uid, endpoint, text(target, "az", "", errors), text(target, "model", "", errors),
+                (long) number(target, "pod_group", 0, errors), state, number(target, "capacity_hint", 1, errors),
+                (long) number(target, "boot_ms", 0, errors));
+        if (errors.length() > 0) {
+            throw new IllegalArgumentException(errors.substring(2));
         }
         return entry;
     }
 
     /** Reads a string; a null {@code defaultValue} makes the field required. */
-    private static String text(Map<?, ?> target, String name, String otherwise, StringBuilder faults) {
-        Object value = target.get(name);
-        if (value == null && otherwise == null || value != null && !(value instanceof String)
-                || otherwise == null && value.toString().isBlank()) {
-            faults.append("; ").append(name).append(": expected a text");
+    private static String text(Map<?, ?> target, String field, String defaultValue, StringBuilder errors) {
+        Object value = target.get(field);
+        if (value == null && defaultValue == null || value != null && !(value instanceof String)
+                || defaultValue == null && value.toString().isBlank()) {
+            errors.append("; ").append(field).append(": expected a text");
             return "";
         }
-        return Objects.toString(value, otherwise);
+        return Objects.toString(value, defaultValue);
     }
 
-    private static double number(Map<?, ?> target, String name, double otherwise, StringBuilder faults) {
-        Object value = target.get(name);
+    private static double number(Map<?, ?> target, String field, double defaultValue, StringBuilder errors) {
+        Object value = target.get(field);
         if (value != null && !(value instanceof Number)) {
-            faults.append("; ").append(name).append(": expected a number");
+            errors.append("; ").append(field).append(": expected a number");
         }
-        return value instanceof Number number ? number.doubleValue() : otherwise;
+        return value instanceof Number number ? number.doubleValue() : defaultValue;
     }
 }
--- a/registry/src/main/java/mastdrift/registry/HttpDutyService.java
+++ b/registry/src/main/java/mastdrift/registry/HttpDutyService.java
@@ -8,31 +8,32 @@
 /** {@link DutyService} over the list service's HTTP API. */
 final class HttpDutyService implements DutyService {
 
-    private final HttpReplicas replicas;
+    private final RegistryHttpClient replicas;
 
-    HttpDutyService(HttpReplicas replicas) {
+    HttpDutyService(RegistryHttpClient replicas) {
         this.replicas = replicas;
     }
 
     @Override
-    public Answer acquire(String duty, String who, long span) throws IOException {
-        return call(duty + "/acquire", Map.of("who", who, "span", span));
+    public Response acquire(String duty, String candidate, long leaseMillis) throws IOException {
+        return call(duty + "/acquire", Map.of("who", candidate, "span", leaseMillis));
     }
 
     @Override
-    public Answer hold(String duty, String who, long token) throws IOException {
-        return call(duty + "/hold", Map.of("who", who, "token", token));
+    public Response renew(String duty, String candidate, long token) throws IOException {
+        return call(duty + "/hold", Map.of("who", candidate, "token", token));
     }
 
     @Override
-    public Answer release(String duty, String who, long token) throws IOException {
-        return call(duty + "/release", Map.of("who", who, "token", token));
+    public Response release(String duty, String candidate, long token) throws IOException {
+        return call(duty + "/release", Map.of("who", candidate, "token", token));
     }
 
     @Override
-    public Answer record(String duty, String who, long token, String step, Map<String, Object> state) throws IOException {
+    public Response record(String duty, String candidate, long token, String step, Map<String, Object> state)
+            throws IOException {
         Map<String, Object> body = new LinkedHashMap<>();
-        body.put("who", who);
+        body.put("who", candidate);
         body.put("token", token);
         body.put("step", step);
         body.put("state", state);
@@ -40,12 +41,12 @@
     }
 
     @Override
-    public Answer read(String duty) throws IOException {
+    public Response read(String duty) throws IOException {
         return call(duty, null);
     }
 
-    private Answer call(String path, Map<String, Object> body) throws IOException {
-        HttpReplicas.Answer answer = replicas.call(body == null ? "GET" : "POST", "/v1/duties/" + path, body);
-        return new Answer(answer.yes(), Json.parse(answer.body()));
+    private Response call(String path, Map<String, Object> body) throws IOException {
+        RegistryHttpClient.Response response = replicas.call(body == null ? "GET" : "POST", "/v1/duties/" + path, body);
+        return new Response(response.isSuccess(), Json.parse(response.body()));
     }
 }
--- a/registry/src/main/java/mastdrift/registry/HttpEntries.java
+++ b/registry/src/main/java/mastdrift/registry/HttpEntryService.java
@@ -11,35 +11,35 @@
 import mastdrift.common.Json;
 
 /** Entries over the list service's HTTP API; hosts are probed by a TCP connection. */
-final class HttpEntries implements Sweep.Entries {
+final class HttpEntryService implements StaleEntrySweeper.EntryService {
 
-    private static final int DIAL_MILLIS = 500;
+    private static final int CONNECT_TIMEOUT_MILLIS = 500;
 
-    private final HttpReplicas replicas;
+    private final RegistryHttpClient replicas;
     private final String duty;
 
-    HttpEntries(HttpReplicas replicas, String duty) {
+    HttpEntryService(RegistryHttpClient replicas, String duty) {
         this.replicas = replicas;
         this.duty = duty;
     }
 
     @Override
-    public List<Map<String, Object>> all() throws IOException {
-        List<Map<String, Object>> all = new ArrayList<>();
+    public List<Map<String, Object>> list() throws IOException {
+        List<Map<String, Object>> result = new ArrayList<>();
         Object entries = Json.parse(replicas.call("GET", "/v1/entries", null).body()).get("entries");
         for (Object each : entries instanceof List<?> list ? list : List.of()) {
             Map<String, Object> entry = new LinkedHashMap<>();
             ((Map<?, ?>) each).forEach((key, value) -> entry.put(key.toString(), value));
-            all.add(entry);
+            result.add(entry);
         }
-        return all;
+        return result;
     }
 
     @Override
-    public boolean answers(String endpoint) {
-        InetSocketAddress at = HttpServer.parseAddress(endpoint);
+    public boolean acceptsConnection(String endpoint) {
+        InetSocketAddress address = HttpServer.parseAddress(endpoint);
         try (Socket socket = new Socket()) {
-            socket.connect(at, DIAL_MILLIS);
+            socket.connect(address, CONNECT_TIMEOUT_MILLIS);
             return true;
         } catch (IOException e) {
             return false;
@@ -48,7 +48,8 @@
 
     @Override
     public boolean remove(String uid, long rev, long token) throws IOException {
-        return replicas.call("DELETE", "/v1/entries/" + uid + "?now=1&if_rev=" + rev + "&duty=" + duty + "&token=" + token, null)
-                .yes();
+        return replicas.call("DELETE", "/v1/entries/" + uid + "?now=1&if_rev=" + rev + "&duty=" + duty + "&token="
+                + token, null)
+                .isSuccess();
     }
 }
--- a/registry/src/main/java/mastdrift/registry/HttpGateways.java
+++ b/registry/src/main/java/mastdrift/registry/HttpGatewayClient.java
@@ -9,23 +9,24 @@
 import java.util.concurrent.TimeUnit;
 
 /** Gateways over HTTP, at their admin addresses. */
-final class HttpGateways implements Roll.Gateways {
+final class HttpGatewayClient implements RollingRestart.GatewayClient {
 
-    private static final Duration WITHIN = Duration.ofMillis(800);
-    private static final int REPLACE_SECONDS = 30;
-    private static final int REFUSED = 412;
+    private static final Duration REQUEST_TIMEOUT = Duration.ofMillis(800);
+    private static final int REPLACE_TIMEOUT_SECONDS = 30;
+    private static final int PRECONDITION_FAILED = 412;
 
     private final String duty;
-    private final HttpClient client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).connectTimeout(WITHIN)
+    private final HttpClient client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1)
+            .connectTimeout(REQUEST_TIMEOUT)
             .build();
 
-    HttpGateways(String duty) {
+    HttpGatewayClient(String duty) {
         this.duty = duty;
     }
 
     private HttpResponse<String> call(String admin, String method, String path) throws IOException {
         try {
-            return client.send(HttpRequest.newBuilder(URI.create("http://" + admin + path)).timeout(WITHIN)
+            return client.send(HttpRequest.newBuilder(URI.create("http://" + admin + path)).timeout(REQUEST_TIMEOUT)
                     .method(method, HttpRequest.BodyPublishers.noBody()).build(), HttpResponse.BodyHandlers.ofString());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -34,10 +35,10 @@
     }
 
     @Override
-    public Roll.Seen look(String admin) throws IOException {
+    public RollingRestart.GatewayStatus status(String admin) throws IOException {
         HttpResponse<String> status = call(admin, "GET", "/status");
         double served = 0;
-        double bad = 0;
+        double failed = 0;
         double inFlight = 0;
         for (String line : call(admin, "GET", "/status/metrics").body().lines().toList()) {
             String[] parts = line.split(" ");
@@ -49,27 +50,29 @@
                 inFlight += value;
             } else if (line.startsWith("edge_node_requests_total")) {
                 served += line.contains("outcome=\"served\"") ? value : 0;
-                bad += line.contains("outcome=\"served\"") ? 0 : value;
+                failed += line.contains("outcome=\"served\"") ? 0 : value;
             }
         }
-        return new Roll.Seen(status.statusCode() == 200, status.headers().firstValue("X-Process").orElse(""), inFlight, served,
-                bad);
+        return new RollingRestart.GatewayStatus(status.statusCode() == 200, status.headers().firstValue("X-Process")
+                .orElse(""), inFlight, served,
+                failed);
     }
 
     @Override
     public void standby(String admin, String process, long token) throws IOException {
-        turn(admin, "/standby", process, token);
+        changeMode(admin, "/standby", process, token);
     }
 
     @Override
     public void active(String admin, String process, long token) throws IOException {
-        turn(admin, "/active", process, token);
+        changeMode(admin, "/active", process, token);
     }
 
-    private void turn(String admin, String path, String process, long token) throws IOException {
-        int status = call(admin, "POST", path + "?duty=" + duty + "&token=" + token + "&process=" + process).statusCode();
-        if (status == REFUSED) {
-            throw new DutyWork.Lost(admin + " has seen a newer token, or is another process");
+    private void changeMode(String admin, String path, String process, long token) throws IOException {
+        int status = call(admin, "POST", path + "?duty=" + duty + "&token=" + token + "&process=" + process)
+                .statusCode();
+        if (status == PRECONDITION_FAILED) {
+            throw new DutyWork.LeaseLostException(admin + " has seen a newer token, or is another process");
         }
         if (status / 100 != 2) {
             throw new IOException(admin + path + " answers " + status);
@@ -77,12 +80,12 @@
     }
 
     @Override
-    public void replace(String name, String meant, String command) throws IOException {
-        Process process = new ProcessBuilder("sh", "-c", command, "replace", name, meant).inheritIO().start();
+    public void replace(String name, String processId, String command) throws IOException {
+        Process process = new ProcessBuilder("sh", "-c", command, "replace", name, processId).inheritIO().start();
         try {
-            if (!process.waitFor(REPLACE_SECONDS, TimeUnit.SECONDS)) {
+            if (!process.waitFor(REPLACE_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
                 process.destroyForcibly();
-                throw new IOException("replacing " + name + " took over " + REPLACE_SECONDS + " s");
+                throw new IOException("replacing " + name + " took over " + REPLACE_TIMEOUT_SECONDS + " s");
             }
             if (process.exitValue() != 0) {
                 throw new IOException("replacing " + name + " ended with status " + process.exitValue());
--- a/registry/src/main/java/mastdrift/registry/Main.java
+++ b/registry/src/main/java/mastdrift/registry/Main.java
@@ -6,14 +6,15 @@
 import picocli.CommandLine.Command;
 
 /** Command line with the list service's commands only; the springspar command includes them too. */
-@Command(name = "registry", subcommands = {Commands.Registry.class, Commands.StartAgent.class, Commands.Endpoints.class,
+@Command(name = "registry", subcommands = {RegistryCommands.Registry.class, RegistryCommands.StartAgent.class,
+        RegistryCommands.Endpoints.class,
         DutyCommands.Duty.class, DutyCommands.RollCommand.class, ZoneCommands.Zone.class, MemberCommands.Members.class})
 public final class Main {
 
     private Main() { }
 
     /** Configures logging: one line per event on standard output, with libraries logging from warnings on. */
-    public static void logToOutput() {
+    public static void configureLogging() {
         System.setProperty("org.slf4j.simpleLogger.logFile", "System.out");
         System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", "warn");
         System.setProperty("org.slf4j.simpleLogger.log.mastdrift", "info");
@@ -22,9 +23,9 @@
         System.setProperty("org.slf4j.simpleLogger.showThreadName", "false");
     }
 
-    /** Makes an uncaught exception end the process: a replica that lost a thread would accept requests without working.
-        */
-    public static void endOnFaults() {
+    /** Makes an uncaught exception end the process: a replica that lost a thread would accept requests without
+        working. */
+    public static void exitOnUncaughtException() {
         Thread.setDefaultUncaughtExceptionHandler((thread, fault) -> {
             System.err.println("uncaught exception in thread " + thread.getName());
             fault.printStackTrace();
@@ -34,8 +35,8 @@
 
     /** Runs a command and exits with its status. */
     public static void main(String[] args) {
-        logToOutput();
-        endOnFaults();
+        configureLogging();
+        exitOnUncaughtException();
         System.exit(run(args, new PrintWriter(System.out, true, StandardCharsets.UTF_8),
                 new PrintWriter(System.err, true, StandardCharsets.UTF_8)));
     }
--- a/registry/src/main/java/mastdrift/registry/MemberCommands.java
+++ b/registry/src/main/java/mastdrift/registry/MemberCommands.java
@@ -29,66 +29,73 @@
         }
     }
 
-    private static String lines(Map<String, Object> shown) {
+    private static String format(Map<String, Object> view) {
         StringBuilder lines = new StringBuilder();
-        for (Object each : shown.get("members") instanceof List<?> members ? members : List.of()) {
+        for (Object each : view.get("members") instanceof List<?> members ? members : List.of()) {
             Map<?, ?> member = (Map<?, ?>) each;
-            lines.append(String.format(Locale.ROOT, "%-20s %-10s zone %-8s %-28s #%s%s%n", member.get("name"), member.get("role"),
-                    member.get("zone"), member.get("address"), member.get("incarnation"), against(shown, member.get("name"))));
+            lines.append(String.format(Locale.ROOT, "%-20s %-10s zone %-8s %-28s #%s%s%n", member.get("name"),
+                    member.get("role"),
+                    member.get("zone"), member.get("address"), member.get("incarnation"),
+                    formatReports(view, member.get("name"))));
         }
-        return lines + "view " + shown.get("view");
+        return lines + "view " + view.get("view");
     }
 
-    private static String against(Map<String, Object> shown, Object name) {
-        Object by = shown.get("reports") instanceof Map<?, ?> reports ? reports.get(name) : null;
+    private static String formatReports(Map<String, Object> view, Object name) {
+        Object by = view.get("reports") instanceof Map<?, ?> reports ? reports.get(name) : null;
         return by == null ? "" : "  not heard by " + by;
     }
 
-    @Command(name = "list", mixinStandardHelpOptions = true, description = "Lists the current view, one member per line.")
-    static final class ListAll extends Commands.Asking {
+    @Command(name = "list", mixinStandardHelpOptions = true,
+            description = "Lists the current view, one member per line.")
+    static final class ListAll extends RegistryCommands.ServiceCommand {
         @Override
-        int ask(Commands.Calling calling) throws Commands.NoAnswer, InterruptedException {
-            Commands.Calling.Answer answer = calling.call("GET", "/v1/members", null);
-            return calling.tell(answer, lines(answer.body()));
+        int execute(RegistryCommands.ServiceConnection service) throws RegistryCommands.NoAnswerException,
+                InterruptedException {
+            RegistryCommands.ServiceConnection.Response response = service.call("GET", "/v1/members", null);
+            return service.print(response, format(response.body()));
         }
     }
 
     @Command(name = "watch", mixinStandardHelpOptions = true, description = "Prints each new view.")
-    static final class Watch extends Commands.Asking {
+    static final class Watch extends RegistryCommands.ServiceCommand {
 
-        private static final int LOOK_MILLIS = 300;
+        private static final int POLL_INTERVAL_MILLIS = 300;
 
-        @Option(names = "--views", paramLabel = "N", defaultValue = "0", description = "end after so many views (default: never)")
+        @Option(names = "--views", paramLabel = "N", defaultValue = "0",
+                description = "end after so many views (default: never)")
         private int views;
 
         @Override
-        int ask(Commands.Calling calling) throws Commands.NoAnswer, InterruptedException {
+        int execute(RegistryCommands.ServiceConnection service) throws RegistryCommands.NoAnswerException,
+                InterruptedException {
             Object last = null;
-            for (int told = 0; views == 0 || told < views;) {
-                Commands.Calling.Answer answer = calling.call("GET", "/v1/members", null);
-                if (!answer.body().get("view").equals(last)) {
-                    last = answer.body().get("view");
-                    told++;
-                    calling.tell(answer, lines(answer.body()));
+            for (int printed = 0; views == 0 || printed < views;) {
+                RegistryCommands.ServiceConnection.Response response = service.call("GET", "/v1/members", null);
+                if (!response.body().get("view").equals(last)) {
+                    last = response.body().get("view");
+                    printed++;
+                    service.print(response, format(response.body()));
                 }
-                Thread.sleep(LOOK_MILLIS);
+                Thread.sleep(POLL_INTERVAL_MILLIS);
             }
-            return Commands.YES;
+            return RegistryCommands.EXIT_SUCCESS;
         }
     }
 
     @Command(name = "why", mixinStandardHelpOptions = true,
             description = "Shows who reports a member now, and how it last joined or left.")
-    static final class Why extends Commands.Asking {
+    static final class Why extends RegistryCommands.ServiceCommand {
 
         @Parameters(index = "0", paramLabel = "NAME")
         private String name;
 
         @Override
-        int ask(Commands.Calling calling) throws Commands.NoAnswer, InterruptedException {
-            Commands.Calling.Answer answer = calling.call("GET", "/v1/members", null);
+        int execute(RegistryCommands.ServiceConnection service) throws RegistryCommands.NoAnswerException,
+                InterruptedException {
+            RegistryCommands.ServiceConnection.Response response = service.call("GET", "/v1/members", null);
             StringBuilder lines = new StringBuilder();
-            for (Object each : answer.body().get("events") instanceof List<?> events ? events : List.of()) {
+            for (Object each : response.body().get("events") instanceof List<?> events ? events : List.of()) {
                 Map<?, ?> event = (Map<?, ?>) each;
                 if (event.get("members") instanceof List<?> members && members.contains(name)) {
                     lines.append("view ").append(event.get("view")).append(": ").append(event.get("how"))
@@ -96,11 +103,12 @@
                             .append(System.lineSeparator());
                 }
             }
-            String now = against(answer.body(), name);
-            boolean known = !lines.isEmpty() || !now.isEmpty();
-            int status = calling.tell(answer, known ? lines + "now:" + (now.isEmpty() ? "  nobody reports it" : now)
+            String reports = formatReports(response.body(), name);
+            boolean known = !lines.isEmpty() || !reports.isEmpty();
+            int status = service.print(response, known ? lines + "now:"
+                    + (reports.isEmpty() ? "  nobody reports it" : reports)
                     : "nothing is known of " + name);
-            return known ? status : Commands.NO;
+            return known ? status : RegistryCommands.EXIT_REFUSED;
         }
     }
 }
--- a/registry/src/main/java/mastdrift/registry/Gauges.java
+++ b/registry/src/main/java/mastdrift/registry/PrometheusGauges.java
@@ -10,18 +10,18 @@
 import java.util.function.DoubleSupplier;
 
 /** Gauges of a process, evaluated when scraped, in Prometheus text format. */
-final class Gauges {
+final class PrometheusGauges {
 
     private final PrometheusRegistry registry = new PrometheusRegistry();
 
     /** Adds a gauge; returns this object for chaining. */
-    Gauges put(String name, String help, DoubleSupplier value) {
+    PrometheusGauges add(String name, String help, DoubleSupplier value) {
         GaugeWithCallback.builder().name(name).help(help).callback(callback -> callback.call(value.getAsDouble()))
                 .register(registry);
         return this;
     }
 
-    String text() {
+    String render() {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         try {
             new PrometheusTextFormatWriter(false).write(out, registry.scrape());
--- a/registry/src/main/java/mastdrift/registry/Commands.java
+++ b/registry/src/main/java/mastdrift/registry/RegistryCommands.java
@@ -28,21 +28,22 @@
 
 /** Commands for the list service. Exit status: 0 success, 1 refused by the service, 2 wrong usage, 3 no replica
     answers. */
-public final class Commands {
+public final class RegistryCommands {
 
-    static final int YES = 0;
-    static final int NO = 1;
-    static final int NOBODY = 3;
+    static final int EXIT_SUCCESS = 0;
+    static final int EXIT_REFUSED = 1;
+    static final int EXIT_NO_ANSWER = 3;
 
-    private Commands() { }
+    private RegistryCommands() { }
 
     /** Starts a replica of the list service. */
     @Command(name = "registry", mixinStandardHelpOptions = true,
             description = "Starts a replica of the list service; without peers it is the whole service.",
-            subcommands = {RegistryStatus.class, Members.class, Backup.class, Restore.class})
+            subcommands = {RegistryStatus.class, RegistryMembers.class, Backup.class, Restore.class})
     public static final class Registry implements Callable<Integer> {
 
-        @Option(names = "--name", defaultValue = "registry-1", description = "name of this replica (default: ${DEFAULT-VALUE})")
+        @Option(names = "--name", defaultValue = "registry-1",
+                description = "name of this replica (default: ${DEFAULT-VALUE})")
         private String name;
 
         @Option(names = "--folder", paramLabel = "DIR", description = "directory of its files; required")
@@ -61,34 +62,36 @@
                         + "(default: a single replica)")
         private Map<String, String> peers = new LinkedHashMap<>();
 
-        @Option(names = "--watches", paramLabel = "N", defaultValue = "" + Feed.WATCHES_MOST,
+        @Option(names = "--watches", paramLabel = "N", defaultValue = "" + WatchHub.DEFAULT_MAX_WATCHES,
                 description = "maximum number of open watches (default: ${DEFAULT-VALUE})")
-        private int watches;
+        private int maxWatches;
 
         @Spec
         private CommandSpec spec;
 
         @Override
         public Integer call() throws Exception {
-            List<String> faults = new ArrayList<>();
+            List<String> errors = new ArrayList<>();
             if (folder == null) {
-                faults.add("--folder is required");
+                errors.add("--folder is required");
             }
             if (!peers.isEmpty() && !peers.containsKey(name)) {
-                faults.add("--peer: " + name + ", this replica, is missing");
+                errors.add("--peer: " + name + ", this replica, is missing");
             }
             if (peers.size() % 2 == 0 && !peers.isEmpty()) {
-                faults.add("--peer: expected an odd number of replicas, not " + peers.size());
+                errors.add("--peer: expected an odd number of replicas, not " + peers.size());
             }
-            if (!faults.isEmpty()) {
-                throw new CommandLine.ParameterException(spec.commandLine(), String.join(System.lineSeparator(), faults));
+            if (!errors.isEmpty()) {
+                throw new CommandLine.ParameterException(spec.commandLine(),
+                        String.join(System.lineSeparator(), errors));
             }
-            Map<String, Peers.Address> all = new LinkedHashMap<>();
-            peers.forEach((peer, address) -> all.put(peer, Peers.Address.of(address)));
-            all.putIfAbsent(name, new Peers.Address(raft, listen));
-            Main.endOnFaults();
-            Replica replica = new Replica(new Replica.Setup(name, folder, HttpServer.parseAddress(listen), HttpServer.parseAddress(raft), all,
-                    watches), Clock.SYSTEM, new Catalogue(), new Disk());
+            Map<String, ReplicaBootstrap.Address> addresses = new LinkedHashMap<>();
+            peers.forEach((peer, address) -> addresses.put(peer, ReplicaBootstrap.Address.parse(address)));
+            addresses.putIfAbsent(name, new ReplicaBootstrap.Address(raft, listen));
+            Main.exitOnUncaughtException();
+            Replica replica = new Replica(new Replica.Config(name, folder, HttpServer.parseAddress(listen),
+                    HttpServer.parseAddress(raft), addresses,
+                    maxWatches), Clock.SYSTEM, new RegistryState(), new Disk());
             Runtime.getRuntime().addShutdownHook(new Thread(() -> {
                 try {
                     replica.close();
@@ -96,9 +99,9 @@
                     System.err.println(e);
                 }
             }));
-            replica.begin();
+            replica.start();
             replica.await();
-            return YES;
+            return EXIT_SUCCESS;
         }
     }
 
@@ -107,7 +110,8 @@
             description = "Starts an agent, which serves discovery to gateways from the list service.")
     public static final class StartAgent implements Callable<Integer> {
 
-        @Option(names = "--folder", paramLabel = "DIR", required = true, description = "directory in which the last list is saved")
+        @Option(names = "--folder", paramLabel = "DIR", required = true,
+                description = "directory in which the last list is saved")
         private Path folder;
 
         @Option(names = "--listen", paramLabel = "ADDRESS:PORT", defaultValue = "127.0.0.1:8500",
@@ -131,29 +135,30 @@
         @Override
         public Integer call() throws Exception {
             List<InetSocketAddress> replicas = registry.stream().map(HttpServer::parseAddress).toList();
-            Main.endOnFaults();
-            Membership.Setup member = name == null ? null : new Membership.Setup(name, "agent", zone,
+            Main.exitOnUncaughtException();
+            MembershipClient.Config member = name == null ? null : new MembershipClient.Config(name, "agent", zone,
                     (address == null ? listen : address) + "/v1/agent");
-            Agent agent = new Agent(new Agent.Setup(folder, HttpServer.parseAddress(listen), replicas, member), Clock.SYSTEM, new Disk());
+            Agent agent = new Agent(new Agent.Config(folder, HttpServer.parseAddress(listen), replicas, member),
+                    Clock.SYSTEM, new Disk());
             Runtime.getRuntime().addShutdownHook(new Thread(agent::close));
             Thread.currentThread().join();
-            return YES;
+            return EXIT_SUCCESS;
         }
     }
 
     /** Thrown when no replica answers in time. */
-    static final class NoAnswer extends Exception {
+    static final class NoAnswerException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        NoAnswer(String message) {
+        NoAnswerException(String message) {
             super(message);
         }
     }
 
     /** Options that all commands share, and the request to the service. */
-    static final class Calling {
+    static final class ServiceConnection {
 
-        private static final Duration WITHIN = Duration.ofSeconds(4);
+        private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(4);
 
         @Option(names = "--registry", paramLabel = "ADDRESS:PORT", split = ",", defaultValue = "127.0.0.1:9400",
                 description = "addresses of the replicas, tried in turn (default: ${DEFAULT-VALUE})")
@@ -166,77 +171,81 @@
         private CommandSpec spec;
 
         /** Response of a replica. */
-        record Answer(int status, Map<String, Object> body) {
-            boolean yes() {
+        record Response(int status, Map<String, Object> body) {
+            boolean isSuccess() {
                 return status / 100 == 2;
             }
         }
 
-        Answer call(String method, String path, String body) throws NoAnswer, InterruptedException {
+        Response call(String method, String path, String body) throws NoAnswerException, InterruptedException {
             HttpClient client = HttpClient.newBuilder().connectTimeout(Duration.ofSeconds(1)).build();
             StringBuilder causes = new StringBuilder();
-            for (String each : registry) {
-                HttpRequest request = HttpRequest.newBuilder(URI.create("http://" + each + path)).timeout(WITHIN)
+            for (String address : registry) {
+                HttpRequest request = HttpRequest.newBuilder(URI.create("http://" + address + path))
+                        .timeout(REQUEST_TIMEOUT)
                         .method(method, body == null ? HttpRequest.BodyPublishers.noBody()
                                 : HttpRequest.BodyPublishers.ofString(body)).build();
                 try {
-                    HttpResponse<String> answer = client.send(request, HttpResponse.BodyHandlers.ofString());
-                    if (answer.statusCode() != 503) {
-                        return new Answer(answer.statusCode(), Json.parse(answer.body()));
+                    HttpResponse<String> response = client.send(request, HttpResponse.BodyHandlers.ofString());
+                    if (response.statusCode() != 503) {
+                        return new Response(response.statusCode(), Json.parse(response.body()));
                     }
-                    causes.append("; ").append(each).append(": ").append(answer.body());
+                    causes.append("; ").append(address).append(": ").append(response.body());
                 } catch (IOException | IllegalArgumentException e) {
-                    causes.append("; ").append(each).append(": ").append(e.getMessage() == null ? "no answer" : e.getMessage());
+                    causes.append("; ").append(address).append(": ").append(e.getMessage() == null ? "no answer"
+                            : e.getMessage());
                 }
             }
-            throw new NoAnswer("no replica answers" + causes);
+            throw new NoAnswerException("no replica answers" + causes);
         }
 
         /** Prints the response as JSON if asked for, else the line, or the error on standard error; returns the exit
             status. */
-        int tell(Answer answer, String line) {
+        int print(Response response, String line) {
             if (json) {
-                spec.commandLine().getOut().println(Json.encode(answer.body()));
-            } else if (answer.yes()) {
+                spec.commandLine().getOut().println(Json.encode(response.body()));
+            } else if (response.isSuccess()) {
                 spec.commandLine().getOut().println(line);
             } else {
-                spec.commandLine().getErr().println(answer.body().get("error"));
+                spec.commandLine().getErr().println(response.body().get("error"));
             }
-            return answer.yes() ? YES : NO;
+            return response.isSuccess() ? EXIT_SUCCESS : EXIT_REFUSED;
         }
     }
 
     /** Base of commands that call the service; maps failures to exit statuses. */
-    abstract static class Asking implements Callable<Integer> {
+    abstract static class ServiceCommand implements Callable<Integer> {
 
         @Mixin
-        private Calling calling;
+        private ServiceConnection service;
 
         @Spec
         private CommandSpec spec;
 
-        abstract int ask(Calling calling) throws NoAnswer, InterruptedException;
+        abstract int execute(ServiceConnection service) throws NoAnswerException, InterruptedException;
 
         @Override
         public Integer call() throws InterruptedException {
             try {
-                return ask(calling);
-            } catch (NoAnswer e) {
+                return execute(service);
+            } catch (NoAnswerException e) {
                 spec.commandLine().getErr().println(e.getMessage());
-                return NOBODY;
+                return EXIT_NO_ANSWER;
             } catch (IllegalArgumentException e) {
                 throw new CommandLine.ParameterException(spec.commandLine(), e.getMessage(), e);
             }
         }
     }
 
-    @Command(name = "status", mixinStandardHelpOptions = true, description = "Shows the leader, the revision and the number of entries.")
-    static final class RegistryStatus extends Asking {
+    @Command(name = "status", mixinStandardHelpOptions = true,
+            description = "Shows the leader, the revision and the number of entries.")
+    static final class RegistryStatus extends ServiceCommand {
         @Override
-        int ask(Calling calling) throws NoAnswer, InterruptedException {
-            Calling.Answer answer = calling.call("GET", "/v1/registry", null);
-            Map<String, Object> body = answer.body();
-            return calling.tell(answer, body.get("name") + ": leader " + body.get("leader") + ", term " + body.get("term")
+        int execute(ServiceConnection service) throws NoAnswerException, InterruptedException {
+            ServiceConnection.Response response = service.call("GET", "/v1/registry", null);
+            Map<String, Object> body = response.body();
+            return service.print(response, body.get("name") + ": leader " + body.get("leader") + ", term "
+                    + body.get("term")
                     + ", revision " + body.get("rev") + ", " + body.get("entries") + " entries, " + body.get("stale")
                     + " stale, " + body.get("watches") + " watches");
         }
@@ -244,51 +253,54 @@
 
     @Command(name = "members", mixinStandardHelpOptions = true,
             description = "Lists the replicas with their current ids.")
-    static final class Members extends Asking {
+    static final class RegistryMembers extends ServiceCommand {
         @Override
-        int ask(Calling calling) throws NoAnswer, InterruptedException {
-            Calling.Answer answer = calling.call("GET", "/v1/registry", null);
+        int execute(ServiceConnection service) throws NoAnswerException, InterruptedException {
+            ServiceConnection.Response response = service.call("GET", "/v1/registry", null);
             StringBuilder lines = new StringBuilder();
-            if (answer.body().get("members") instanceof Map<?, ?> members && answer.body().get("ids") instanceof List<?> ids) {
+            if (response.body().get("members") instanceof Map<?, ?> members && response.body()
+                    .get("ids") instanceof List<?> ids) {
                 members.forEach((name, member) -> {
                     Object id = ((Map<?, ?>) member).get("id");
                     lines.append(name).append("  ").append(id).append(ids.contains(id) ? "" : "  not counted")
-                            .append(name.equals(answer.body().get("leader")) ? "  leads" : "").append(System.lineSeparator());
+                            .append(name.equals(response.body().get("leader")) ? "  leads" : "")
+                            .append(System.lineSeparator());
                 });
             }
-            return calling.tell(answer, lines.toString().stripTrailing());
+            return service.print(response, lines.toString().stripTrailing());
         }
     }
 
     @Command(name = "backup", mixinStandardHelpOptions = true, description = "Writes the whole state to a file.")
-    static final class Backup extends Asking {
+    static final class Backup extends ServiceCommand {
 
         @Parameters(index = "0", paramLabel = "FILE")
         private Path file;
 
         @Override
-        int ask(Calling calling) throws NoAnswer, InterruptedException {
-            Calling.Answer answer = calling.call("GET", "/v1/backup", null);
-            if (answer.yes()) {
+        int execute(ServiceConnection service) throws NoAnswerException, InterruptedException {
+            ServiceConnection.Response response = service.call("GET", "/v1/backup", null);
+            if (response.isSuccess()) {
                 try {
-                    new Disk().write(file, Json.encode(answer.body()).getBytes(java.nio.charset.StandardCharsets.UTF_8));
+                    new Disk().write(file, Json.encode(response.body())
+                            .getBytes(java.nio.charset.StandardCharsets.UTF_8));
                 } catch (IOException e) {
                     throw new IllegalArgumentException("can't write " + file + ": " + e.getMessage(), e);
                 }
             }
-            return calling.tell(answer, file + ": revision " + answer.body().get("rev"));
+            return service.print(response, file + ": revision " + response.body().get("rev"));
         }
     }
 
     @Command(name = "restore", mixinStandardHelpOptions = true,
             description = "Restores a backup into a service that has no entries; revisions continue far beyond it.")
-    static final class Restore extends Asking {
+    static final class Restore extends ServiceCommand {
 
         @Parameters(index = "0", paramLabel = "FILE")
         private Path file;
 
         @Override
-        int ask(Calling calling) throws NoAnswer, InterruptedException {
+        int execute(ServiceConnection service) throws NoAnswerException, InterruptedException {
             byte[] content;
             try {
                 content = new Disk().read(file);
@@ -298,9 +310,10 @@
             if (content == null) {
                 throw new IllegalArgumentException(file + " does not exist");
             }
-            Calling.Answer answer = calling.call("POST", "/v1/restore",
+            ServiceConnection.Response response = service.call("POST", "/v1/restore",
                     new String(content, java.nio.charset.StandardCharsets.UTF_8));
-            return calling.tell(answer, answer.body().get("entries") + " entries, at revision " + answer.body().get("rev"));
+            return service.print(response, response.body().get("entries") + " entries, at revision " + response.body()
+                    .get("rev"));
         }
     }
 
@@ -319,51 +332,55 @@
     }
 
     @Command(name = "list", mixinStandardHelpOptions = true, description = "Lists all entries, one per line.")
-    static final class ListAll extends Asking {
+    static final class ListAll extends ServiceCommand {
         @Override
-        int ask(Calling calling) throws NoAnswer, InterruptedException {
-            Calling.Answer answer = calling.call("GET", "/v1/entries", null);
+        int execute(ServiceConnection service) throws NoAnswerException, InterruptedException {
+            ServiceConnection.Response response = service.call("GET", "/v1/entries", null);
             StringBuilder lines = new StringBuilder();
-            if (answer.body().get("entries") instanceof List<?> entries) {
+            if (response.body().get("entries") instanceof List<?> entries) {
                 for (Object each : entries) {
                     Map<?, ?> entry = (Map<?, ?>) each;
-                    lines.append(String.format(Locale.ROOT, "%-20s %-22s zone %-10s %-12s revision %s%s%n", entry.get("uid"),
+                    lines.append(String.format(Locale.ROOT, "%-20s %-22s zone %-10s %-12s revision %s%s%n",
+                            entry.get("uid"),
                             entry.get("endpoint"), entry.get("az"), entry.get("state"), entry.get("rev"),
                             Boolean.TRUE.equals(entry.get("stale")) ? "  stale" : ""));
                 }
             }
-            return calling.tell(answer, lines + "revision " + answer.body().get("rev"));
+            return service.print(response, lines + "revision " + response.body().get("rev"));
         }
     }
 
     @Command(name = "watch", mixinStandardHelpOptions = true, description = "Prints each change as a line of JSON.")
-    static final class Watch extends Asking {
+    static final class Watch extends ServiceCommand {
 
         @Option(names = "--from", paramLabel = "REVISION", defaultValue = "0",
                 description = "only changes after it (default: the full list first)")
         private long from;
 
-        @Option(names = "--lines", paramLabel = "N", defaultValue = "0", description = "end after so many lines (default: never)")
+        @Option(names = "--lines", paramLabel = "N", defaultValue = "0",
+                description = "end after so many lines (default: never)")
         private int lines;
 
         @Override
-        int ask(Calling calling) throws NoAnswer, InterruptedException {
+        int execute(ServiceConnection service) throws NoAnswerException, InterruptedException {
             HttpClient client = HttpClient.newBuilder().connectTimeout(Duration.ofSeconds(1)).build();
-            HttpRequest request = HttpRequest.newBuilder(URI.create("http://" + calling.registry.get(0)
+            HttpRequest request = HttpRequest.newBuilder(URI.create("http://" + service.registry.get(0)
                     + "/v1/endpoints?watch=1&from=" + from)).build();
             try {
-                java.util.stream.Stream<String> all = client.send(request, HttpResponse.BodyHandlers.ofLines()).body()
+                java.util.stream.Stream<String> received = client.send(request, HttpResponse.BodyHandlers.ofLines())
+                        .body()
                         .filter(line -> !line.isBlank());
-                (lines > 0 ? all.limit(lines) : all).forEach(calling.spec.commandLine().getOut()::println);
-                return YES;
+                (lines > 0 ? received.limit(lines) : received).forEach(service.spec.commandLine().getOut()::println);
+                return EXIT_SUCCESS;
             } catch (IOException | java.io.UncheckedIOException e) {
-                throw new NoAnswer(calling.registry.get(0) + ": " + e.getMessage());
+                throw new NoAnswerException(service.registry.get(0) + ": " + e.getMessage());
             }
         }
     }
 
-    @Command(name = "put", mixinStandardHelpOptions = true, description = "Adds a host to the list, or changes its entry.")
-    static final class Put extends Asking {
+    @Command(name = "put", mixinStandardHelpOptions = true,
+            description = "Adds a host to the list, or changes its entry.")
+    static final class Put extends ServiceCommand {
 
         @Parameters(index = "0", paramLabel = "UID")
         private String uid;
@@ -384,39 +401,41 @@
                 description = "removed if not renewed for so long (default: never)")
         private long lease;
 
-        @Option(names = "--if-rev", paramLabel = "REVISION", description = "only if the entry has this revision; 0: only if it is new")
+        @Option(names = "--if-rev", paramLabel = "REVISION",
+                description = "only if the entry has this revision; 0: only if it is new")
         private Long revision;
 
         @Override
-        int ask(Calling calling) throws NoAnswer, InterruptedException {
+        int execute(ServiceConnection service) throws NoAnswerException, InterruptedException {
             Map<String, Object> entry = new LinkedHashMap<>();
             entry.put("endpoint", endpoint);
             entry.put("az", zone);
             entry.put("model", model);
             entry.put("capacity_hint", capacity);
             entry.put("lease_ms", lease);
-            Calling.Answer answer = calling.call("PUT", "/v1/entries/" + uid + (revision == null ? "" : "?if_rev=" + revision),
+            ServiceConnection.Response response = service.call("PUT", "/v1/entries/" + uid
+                    + (revision == null ? "" : "?if_rev=" + revision),
                     Json.encode(entry));
-            return calling.tell(answer, uid + " at revision " + answer.body().get("rev"));
+            return service.print(response, uid + " at revision " + response.body().get("rev"));
         }
     }
 
     @Command(name = "drain", mixinStandardHelpOptions = true, description = "Drains a host: it gets no new requests.")
-    static final class Drain extends Asking {
+    static final class Drain extends ServiceCommand {
 
         @Parameters(index = "0", paramLabel = "UID")
         private String uid;
 
         @Override
-        int ask(Calling calling) throws NoAnswer, InterruptedException {
-            Calling.Answer answer = calling.call("POST", "/v1/entries/" + uid + "/drain", "");
-            return calling.tell(answer, uid + " drains, at revision " + answer.body().get("rev"));
+        int execute(ServiceConnection service) throws NoAnswerException, InterruptedException {
+            ServiceConnection.Response response = service.call("POST", "/v1/entries/" + uid + "/drain", "");
+            return service.print(response, uid + " drains, at revision " + response.body().get("rev"));
         }
     }
 
     @Command(name = "remove", mixinStandardHelpOptions = true,
             description = "Removes a host from the list, after a drain of 3 s unless --now is given.")
-    static final class Remove extends Asking {
+    static final class Remove extends ServiceCommand {
 
         @Parameters(index = "0", paramLabel = "UID")
         private String uid;
@@ -425,9 +444,10 @@
         private boolean now;
 
         @Override
-        int ask(Calling calling) throws NoAnswer, InterruptedException {
-            Calling.Answer answer = calling.call("DELETE", "/v1/entries/" + uid + (now ? "?now=1" : ""), null);
-            return calling.tell(answer, uid + " leaves, at revision " + answer.body().get("rev"));
+        int execute(ServiceConnection service) throws NoAnswerException, InterruptedException {
+            ServiceConnection.Response response = service.call("DELETE", "/v1/entries/" + uid + (now ? "?now=1" : ""),
+                    null);
+            return service.print(response, uid + " leaves, at revision " + response.body().get("rev"));
         }
     }
 }
--- a/registry/src/main/java/mastdrift/registry/RaftCatalogue.java
+++ b/registry/src/main/java/mastdrift/registry/RegistryStateMachine.java
@@ -27,53 +27,52 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Ratis state machine around {@link RegistryState}: applies committed commands, and writes and loads snapshot files.
-    */
-final class RaftCatalogue extends BaseStateMachine {
+/** Ratis state machine around {@link RegistryState}: applies committed commands, writes and loads snapshots. */
+final class RegistryStateMachine extends BaseStateMachine {
 
-    private static final Logger LOG = LoggerFactory.getLogger(RaftCatalogue.class);
+    private static final Logger LOG = LoggerFactory.getLogger(RegistryStateMachine.class);
 
-    private final Catalogue catalogue;
+    private final RegistryState state;
     private final Disk disk;
-    private final Runnable changed;
-    private final Consumer<Boolean> leads;
+    private final Runnable onChange;
+    private final Consumer<Boolean> onLeadership;
     private final SimpleStateMachineStorage storage = new SimpleStateMachineStorage();
 
     /** {@code onChange} runs after each new revision; {@code onLeadership} gets true when this replica becomes the
         leader and false when it is not. */
-    RaftCatalogue(Catalogue catalogue, Disk disk, Runnable changed, Consumer<Boolean> leads) {
-        this.catalogue = catalogue;
+    RegistryStateMachine(RegistryState state, Disk disk, Runnable onChange, Consumer<Boolean> onLeadership) {
+        this.state = state;
         this.disk = disk;
-        this.changed = changed;
-        this.leads = leads;
+        this.onChange = onChange;
+        this.onLeadership = onLeadership;
     }
 
     @Override
     public void initialize(RaftServer server, RaftGroupId group, RaftStorage raftStorage) throws IOException {
         super.initialize(server, group, raftStorage);
         storage.init(raftStorage);
-        load();
+        loadSnapshot();
     }
 
     @Override
     public void reinitialize() throws IOException {
-        load();
+        loadSnapshot();
     }
 
-    private void load() throws IOException {
+    private void loadSnapshot() throws IOException {
         SingleFileSnapshotInfo newest = storage.loadLatestSnapshot();
         if (newest == null) {
             return;
         }
         File file = newest.getFile().getPath().toFile();
         try {
-            catalogue.restore(Json.parse(disk.read(file.toPath())));
+            state.restore(Json.parse(disk.read(file.toPath())));
         } catch (IllegalArgumentException | ClassCastException e) {
             throw new IOException(file + " is spoilt: " + e.getMessage(), e);
         }
         setLastAppliedTermIndex(newest.getTermIndex());
-        LOG.info("snapshot-loaded index={} rev={}", newest.getIndex(), catalogue.rev());
-        changed.run();
+        LOG.info("snapshot-loaded index={} rev={}", newest.getIndex(), state.rev());
+        onChange.run();
     }
 
     @Override
@@ -84,16 +83,16 @@
     @Override
     public long takeSnapshot() throws IOException {
         TermIndex last;
-        byte[] state;
-        synchronized (catalogue) {  // commands are applied on another thread
+        byte[] content;
+        synchronized (state) {  // commands are applied on another thread
             last = getLastAppliedTermIndex();
-            state = Json.encode(catalogue.state()).getBytes(StandardCharsets.UTF_8);
+            content = Json.encode(state.state()).getBytes(StandardCharsets.UTF_8);
         }
         File file = storage.getSnapshotFile(last.getTerm(), last.getIndex());
-        disk.write(file.toPath(), state);
+        disk.write(file.toPath(), content);
         MD5Hash digest = MD5FileUtil.computeAndSaveMd5ForFile(file);
         storage.updateLatestSnapshot(new SingleFileSnapshotInfo(new FileInfo(file.toPath(), digest), last));
-        LOG.info("snapshot-taken index={} rev={} bytes={}", last.getIndex(), catalogue.rev(), state.length);
+        LOG.info("snapshot-taken index={} rev={} bytes={}", last.getIndex(), state.rev(), content.length);
         return last.getIndex();
     }
 
@@ -101,34 +100,34 @@
     public CompletableFuture<Message> applyTransaction(TransactionContext transaction) {
         RaftProtos.LogEntryProto entry = transaction.getLogEntry();
         Map<String, Object> command = Json.parse(entry.getStateMachineLogEntry().getLogData().toByteArray());
-        long before = catalogue.rev() + catalogue.dutiesRev();
-        Catalogue.Applied applied;
-        synchronized (catalogue) {
-            applied = catalogue.apply(command);
+        long before = state.rev() + state.dutyRev();
+        RegistryState.CommandResult applied;
+        synchronized (state) {
+            applied = state.apply(command);
             updateLastAppliedTermIndex(entry.getTerm(), entry.getIndex());
         }
-        applied.news().forEach(line -> LOG.info("{}", line));
-        if (catalogue.rev() + catalogue.dutiesRev() != before) {
-            changed.run();
+        applied.logLines().forEach(line -> LOG.info("{}", line));
+        if (state.rev() + state.dutyRev() != before) {
+            onChange.run();
         }
-        return CompletableFuture.completedFuture(Message.valueOf(applied.text()));
+        return CompletableFuture.completedFuture(Message.valueOf(applied.toJson()));
     }
 
     @Override
     public void notifyLeaderChanged(RaftGroupMemberId member, RaftPeerId leader) {
         LOG.info("leader {}", leader);
         if (!member.getPeerId().equals(leader)) {
-            leads.accept(false);
+            onLeadership.accept(false);
         }
     }
 
     @Override
     public void notifyLeaderReady() {
-        leads.accept(true);
+        onLeadership.accept(true);
     }
 
     @Override
     public void notifyNotLeader(java.util.Collection<TransactionContext> pending) {
-        leads.accept(false);
+        onLeadership.accept(false);
     }
 }
--- a/registry/src/main/java/mastdrift/registry/RollPlan.java
+++ b/registry/src/main/java/mastdrift/registry/RollingRestartPlan.java
@@ -10,50 +10,50 @@
 import mastdrift.common.TomlFile;
 
 /** Reads the TOML plan of a rolling restart; reports all errors together, with file, line and key. */
-final class RollPlan {
+final class RollingRestartPlan {
 
-    private RollPlan() { }
+    private RollingRestartPlan() { }
 
     /** Reads a plan file; returns the plan in the form that the log stores. */
     static Map<String, Object> read(Path file) throws TomlFile.ValidationException, IOException {
-        return plan(TomlFile.read(file));
+        return toMap(TomlFile.read(file));
     }
 
     /** Parses the text of a plan; {@code name} is used in error messages. */
     static Map<String, Object> parse(String text, String name) throws TomlFile.ValidationException {
-        return plan(TomlFile.parse(text, name));
+        return toMap(TomlFile.parse(text, name));
     }
 
-    private static Map<String, Object> plan(TomlFile file) throws TomlFile.ValidationException {
-        TomlFile.Section top = file.root();
+    private static Map<String, Object> toMap(TomlFile file) throws TomlFile.ValidationException {
+        TomlFile.Section root = file.root();
         Map<String, Object> plan = new LinkedHashMap<>();
-        plan.put("keep", top.number("keep", 0.5, 0, 1));
-        plan.put("settle", top.integer("settle_requests", 0, 0, 1_000_000));
-        String replace = top.string("replace", null);
+        plan.put("keep", root.number("keep", 0.5, 0, 1));
+        plan.put("settle", root.integer("settle_requests", 0, 0, 1_000_000));
+        String replace = root.string("replace", null);
         if (replace != null) {
             plan.put("replace", replace);
         }
         List<Map<String, Object>> gateways = new ArrayList<>();
-        List<TomlFile.Section> sections = top.sections("gateway");
-        for (TomlFile.Section g : sections) {
+        List<TomlFile.Section> sections = root.sections("gateway");
+        for (TomlFile.Section section : sections) {
             Map<String, Object> gateway = new LinkedHashMap<>();
-            gateway.put("name", g.name("name", "gateway-" + (gateways.size() + 1)));
-            String admin = g.name("admin", null);
+            gateway.put("name", section.name("name", "gateway-" + (gateways.size() + 1)));
+            String admin = section.name("admin", null);
             try {
                 HttpServer.parseAddress(String.valueOf(admin));
             } catch (IllegalArgumentException e) {
-                g.addError("admin", e.getMessage());
+                section.addError("admin", e.getMessage());
             }
             gateway.put("admin", admin);
-            gateway.put("zone", g.name("zone", "one"));
-            g.rejectUnknownKeys();
+            gateway.put("zone", section.name("zone", "one"));
+            section.rejectUnknownKeys();
             gateways.add(gateway);
         }
         if (sections.isEmpty()) {
-            top.addError("gateway", "expected at least one [[gateway]] section");
+            root.addError("gateway", "expected at least one [[gateway]] section");
         }
         plan.put("gateways", gateways);
-        top.rejectUnknownKeys();
+        root.rejectUnknownKeys();
         file.throwIfInvalid();
         return plan;
     }
--- a/registry/src/test/java/mastdrift/registry/AgentListTest.java
+++ b/registry/src/test/java/mastdrift/registry/AgentListTest.java
@@ -13,22 +13,23 @@
 
     private final AgentList list = new AgentList();
 
-    private static String line(long rev, boolean all, String... uids) {
-        return Json.encode(Map.of("rev", rev, "all", all, "targets", java.util.Arrays.stream(uids).map(uid -> {
+    private static String line(long rev, boolean full, String... uids) {
+        return Json.encode(Map.of("rev", rev, "all", full, "targets", java.util.Arrays.stream(uids).map(uid -> {
             String[] parts = uid.split(" ");
-            return Map.of("uid", parts[0], "endpoint", "127.0.0.1:9", "state", parts.length > 1 ? parts[1] : "in_service");
+            return Map.of("uid", parts[0], "endpoint", "127.0.0.1:9", "state", parts.length > 1 ? parts[1]
+                    : "in_service");
         }).toList()));
     }
 
     @Test
-    void whatIsOlderEmptyOrSpoiltIsNotLetIn() {
-        assertEquals(AgentList.Taken.NEWER, list.take(line(5, true, "a", "b")));
-        assertEquals(AgentList.Taken.OLDER, list.take(line(4, true, "a")));
-        assertEquals(AgentList.Taken.EMPTY, list.take(line(9, true)));
-        assertEquals(AgentList.Taken.SAME, list.take(line(5, false)));
-        for (String spoilt : List.of("{\"rev\":9", "{}", "[1]", "{\"rev\":9,\"all\":true,\"targets\":[{}]}",
+    void olderEmptyAndMalformedListsAreRefused() {
+        assertEquals(AgentList.ApplyResult.NEWER, list.apply(line(5, true, "a", "b")));
+        assertEquals(AgentList.ApplyResult.OLDER, list.apply(line(4, true, "a")));
+        assertEquals(AgentList.ApplyResult.EMPTY, list.apply(line(9, true)));
+        assertEquals(AgentList.ApplyResult.SAME, list.apply(line(5, false)));
+        for (String malformed : List.of("{\"rev\":9", "{}", "[1]", "{\"rev\":9,\"all\":true,\"targets\":[{}]}",
                 "{\"rev\":9,\"all\":true,\"targets\":[{\"uid\":\"a\",\"endpoint\":\"x\"}]}")) {
-            assertEquals(AgentList.Taken.SPOILT, list.take(spoilt), spoilt);
+            assertEquals(AgentList.ApplyResult.SPOILT, list.apply(malformed), malformed);
         }
         assertEquals(2, list.size());
         assertEquals(5, list.rev());
@@ -36,22 +37,22 @@
 
     /** Guards against a gateway that resumes a watch and keeps hosts that a later full list no longer contains. */
     @Test
-    void aWholeListIsToldAsWhatItChanged() {
-        list.take(line(5, true, "a", "b"));
-        list.take(line(8, true, "b", "c"));
-        Map<String, Object> news = Json.parse(list.since(5).text());
-        assertEquals(false, news.get("all"));
-        assertEquals(List.of("c in_service", "a terminated"), ((List<?>) news.get("targets")).stream().map(each ->
+    void aFullListIsPassedOnAsItsChanges() {
+        list.apply(line(5, true, "a", "b"));
+        list.apply(line(8, true, "b", "c"));
+        Map<String, Object> update = Json.parse(list.updateSince(5).json());
+        assertEquals(false, update.get("all"));
+        assertEquals(List.of("c in_service", "a terminated"), ((List<?>) update.get("targets")).stream().map(each ->
                 ((Map<?, ?>) each).get("uid") + " " + ((Map<?, ?>) each).get("state")).toList());
     }
 
     @Test
-    void whatWentToItsFileIsReadBack() {
-        list.take(line(5, true, "a", "b terminating"));
-        list.take(line(6, false, "a terminated"));
-        AgentList other = new AgentList();
-        assertEquals(AgentList.Taken.NEWER, other.take(new String(list.bytes(), StandardCharsets.UTF_8)));
-        assertEquals(6, other.rev());
-        assertEquals(list.since(0), other.since(0));
+    void aSavedListIsReadBack() {
+        list.apply(line(5, true, "a", "b terminating"));
+        list.apply(line(6, false, "a terminated"));
+        AgentList loaded = new AgentList();
+        assertEquals(AgentList.ApplyResult.NEWER, loaded.apply(new String(list.encode(), StandardCharsets.UTF_8)));
+        assertEquals(6, loaded.rev());
+        assertEquals(list.updateSince(0), loaded.updateSince(0));
     }
 }
--- a/registry/src/test/java/mastdrift/registry/DutiesTest.java
+++ b/registry/src/test/java/mastdrift/registry/DutyTableTest.java
@@ -11,107 +11,108 @@
 import org.junit.jupiter.api.Test;
 
 /** Leases on duties: order of grants, expiry, fencing tokens and recorded steps. */
-class DutiesTest {
+class DutyTableTest {
 
-    private final Catalogue catalogue = new Catalogue();
+    private final RegistryState state = new RegistryState();
 
-    private Catalogue.Applied apply(String name, Object... facts) {
-        return catalogue.apply(Catalogue.command(name, facts));
+    private RegistryState.CommandResult apply(String name, Object... fields) {
+        return state.apply(RegistryState.command(name, fields));
     }
 
-    private long acquire(String who) {
-        return ((Number) apply("acquire", "duty", "roll", "who", who, "span", 1000).answer().get("token")).longValue();
+    private long acquire(String candidate) {
+        return ((Number) apply("acquire", "duty", "roll", "who", candidate, "span", 1000).answer().get("token"))
+                .longValue();
     }
 
-    private int hold(String who, long token) {
-        return apply("hold", "duty", "roll", "who", who, "token", token).status();
+    private int renew(String candidate, long token) {
+        return apply("hold", "duty", "roll", "who", candidate, "token", token).status();
     }
 
-    private void pass(long millis) {
-        for (long left = millis; left > 0; left -= 250) {
-            apply("tick", "elapsed", Math.min(250, left));
+    private void advance(long millis) {
+        for (long remaining = millis; remaining > 0; remaining -= 250) {
+            apply("tick", "elapsed", Math.min(250, remaining));
         }
     }
 
     @Test
-    void oneHoldsAndTheOthersWaitInOrder() {
+    void candidatesAreGrantedInOrderOfArrival() {
         assertEquals(1, acquire("a"));
         assertEquals(0, acquire("b"));
         assertEquals(0, acquire("c"));
         assertEquals(1, acquire("a"));
         assertEquals(2, apply("acquire", "duty", "roll", "who", "c", "span", 1000).answer().get("waits"));
         apply("release", "duty", "roll", "who", "a", "token", 1);
-        assertEquals("b", catalogue.duty("roll").get("holder"));
+        assertEquals("b", state.duty("roll").get("holder"));
         assertEquals(2, acquire("b"));
-        assertEquals(409, hold("a", 1));
-        assertEquals(200, hold("b", 2));
+        assertEquals(409, renew("a", 1));
+        assertEquals(200, renew("b", 2));
     }
 
     @Test
-    void whatIsNotRenewedGoesOnWithANewToken() {
+    void anExpiredLeaseGoesToTheNextCandidateWithANewToken() {
         acquire("a");
-        pass(750);
+        advance(750);
         acquire("b");
-        assertEquals(200, hold("a", 1));
-        pass(750);
+        assertEquals(200, renew("a", 1));
+        advance(750);
         acquire("b");
-        assertEquals("a", catalogue.duty("roll").get("holder"));
-        pass(250);
-        assertEquals("b", catalogue.duty("roll").get("holder"));
-        assertEquals(2L, catalogue.duty("roll").get("token"));
-        assertEquals(409, hold("a", 1));
+        assertEquals("a", state.duty("roll").get("holder"));
+        advance(250);
+        assertEquals("b", state.duty("roll").get("holder"));
+        assertEquals(2L, state.duty("roll").get("token"));
+        assertEquals(409, renew("a", 1));
         assertEquals(409, apply("record", "duty", "roll", "who", "a", "token", 1, "step", "s").status());
     }
 
     /** Guards against granting a duty to a candidate that no longer waits. */
     @Test
-    void whoHasGoneWhileWaitingIsPassedOver() {
+    void aCandidateThatStopsAskingIsSkipped() {
         acquire("a");
         acquire("b");
-        pass(500);
-        hold("a", 1);
+        advance(500);
+        renew("a", 1);
         acquire("c");
-        pass(500);
-        hold("a", 1);
+        advance(500);
+        renew("a", 1);
         acquire("c");
         apply("release", "duty", "roll", "who", "a", "token", 1);
-        assertEquals("c", catalogue.duty("roll").get("holder"));
+        assertEquals("c", state.duty("roll").get("holder"));
     }
 
     @Test
-    void aNewLeaderGivesAHolderItsFullTerm() {
+    void aNewLeaderGivesTheHolderItsFullLease() {
         acquire("a");
-        pass(750);
+        advance(750);
         apply("reign", "term", 3);
-        pass(750);
-        assertEquals(200, hold("a", 1));
+        advance(750);
+        assertEquals(200, renew("a", 1));
     }
 
     @Test
-    void aStepIsRecordedOnceWhoeverRecordsIt() {
+    void aStepIsRecordedOnceByWhicheverHolder() {
         acquire("a");
         Map<String, Object> first = apply("record", "duty", "roll", "who", "a", "token", 1, "step", "s1", "state",
                 Map.of("done", 1)).answer();
         assertEquals(false, first.get("again"));
-        pass(750);
+        advance(750);
         acquire("b");
-        pass(250);
+        advance(250);
         Map<String, Object> second = apply("record", "duty", "roll", "who", "b", "token", 2, "step", "s1", "state",
                 Map.of("done", 9)).answer();
         assertEquals(true, second.get("again"));
-        assertEquals(Map.of("done", 1), catalogue.duty("roll").get("state"));
+        assertEquals(Map.of("done", 1), state.duty("roll").get("state"));
     }
 
     @Test
-    void anOldTokensWriteOnAnEntryDoesNothing() {
+    void aWriteWithAnOldTokenIsRefused() {
         Map<String, Object> entry = Map.of("uid", "h", "endpoint", "127.0.0.1:9");
         acquire("a");
         assertEquals(200, apply("put", "entry", entry, "duty", "roll", "token", 1).status());
-        pass(750);
+        advance(750);
         acquire("b");
-        pass(250);
+        advance(250);
         assertEquals(412, apply("drain", "uid", "h", "duty", "roll", "token", 1).status());
-        assertEquals("in_service", catalogue.entry("h").get("state"));
+        assertEquals("in_service", state.entry("h").get("state"));
         assertEquals(200, apply("drain", "uid", "h", "duty", "roll", "token", 2).status());
         assertEquals(412, apply("remove", "uid", "h", "duty", "other", "token", 2).status());
     }
@@ -122,71 +123,76 @@
      * accepted with a token older than one already used.
      */
     @Test
-    void inEveryOrderOfEventsTokensGrowAndAnOldOneHasNoEffect() {
+    void tokensGrowAndOldOnesHaveNoEffectInEveryOrderOfEvents() {
         int depth = Integer.getInteger("duties.depth", 5);
-        long[] orders = {0};
-        explore(new ArrayList<>(), depth, orders);
-        assertTrue(orders[0] >= Math.pow(EVENTS.size(), depth), Long.toString(orders[0]));
+        long[] sequences = {0};
+        explore(new ArrayList<>(), depth, sequences);
+        assertTrue(sequences[0] >= Math.pow(EVENTS.size(), depth), Long.toString(sequences[0]));
     }
 
     private static final List<String> EVENTS = List.of("a acquire", "b acquire", "a hold", "b effect", "a effect",
             "a release", "tick", "reign");
 
-    private void explore(List<String> path, int depth, long[] orders) {
-        if (path.size() == depth) {
-            orders[0]++;
-            play(path);
+    private void explore(List<String> events, int depth, long[] sequences) {
+        if (events.size() == depth) {
+            sequences[0]++;
+            runSequence(events);
             return;
         }
         for (String event : EVENTS) {
-            path.add(event);
-            explore(path, depth, orders);
-            path.remove(path.size() - 1);
+            events.add(event);
+            explore(events, depth, sequences);
+            events.remove(events.size() - 1);
         }
     }
 
-    private static void play(List<String> path) {
-        Catalogue state = new Catalogue();
-        state.apply(Catalogue.command("put", "entry", Map.of("uid", "h", "endpoint", "127.0.0.1:9")));
+    private static void runSequence(List<String> events) {
+        RegistryState state = new RegistryState();
+        state.apply(RegistryState.command("put", "entry", Map.of("uid", "h", "endpoint", "127.0.0.1:9")));
         Map<String, Long> tokens = new HashMap<>();
         Map<Long, String> holders = new HashMap<>();
         long newestEffect = 0;
-        for (String event : path) {
-            String who = event.substring(0, 1);
-            long token = tokens.getOrDefault(who, 0L);
+        for (String event : events) {
+            String candidate = event.substring(0, 1);
+            long token = tokens.getOrDefault(candidate, 0L);
             switch (event.substring(event.indexOf(' ') + 1)) {
                 case "acquire" -> {
-                    Number told = (Number) state.apply(Catalogue.command("acquire", "duty", "d", "who", who, "span", 300))
+                    Number granted = (Number) state.apply(RegistryState.command("acquire", "duty", "d", "who",
+                            candidate, "span", 300))
                             .answer().get("token");
-                    if (told.longValue() > 0) {
-                        tokens.put(who, told.longValue());
-                        String other = holders.putIfAbsent(told.longValue(), who);
-                        assertTrue(other == null || other.equals(who), () -> "one token, two holders: " + path);
+                    if (granted.longValue() > 0) {
+                        tokens.put(candidate, granted.longValue());
+                        String other = holders.putIfAbsent(granted.longValue(), candidate);
+                        assertTrue(other == null || other.equals(candidate), () -> "one token, two holders: " + events);
                     }
                 }
-                case "hold" -> state.apply(Catalogue.command("hold", "duty", "d", "who", who, "token", token));
+                case "hold" -> state.apply(RegistryState.command("hold", "duty", "d", "who", candidate, "token",
+                        token));
                 case "effect" -> {
-                    int status = state.apply(Catalogue.command("drain", "uid", "h", "duty", "d", "token", token)).status();
+                    int status = state.apply(RegistryState.command("drain", "uid", "h", "duty", "d", "token", token))
+                            .status();
                     if (status == 200) {
-                        assertTrue(token >= newestEffect, () -> "an old token had an effect: " + path);
+                        assertTrue(token >= newestEffect, () -> "an old token had an effect: " + events);
                         newestEffect = token;
                     }
                 }
-                case "release" -> state.apply(Catalogue.command("release", "duty", "d", "who", who, "token", token));
-                case "tick" -> state.apply(Catalogue.command("tick", "elapsed", 301));
-                default -> state.apply(Catalogue.command("reign", "term", 1));
+                case "release" -> state.apply(RegistryState.command("release", "duty", "d", "who", candidate, "token",
+                        token));
+                case "tick" -> state.apply(RegistryState.command("tick", "elapsed", 301));
+                default -> state.apply(RegistryState.command("reign", "term", 1));
             }
             Map<String, Object> duty = state.duty("d");
             if (duty != null && duty.get("holder") != null) {
                 String other = holders.putIfAbsent((Long) duty.get("token"), duty.get("holder").toString());
-                assertTrue(other == null || other.equals(duty.get("holder")), () -> "one token, two holders: " + path);
+                assertTrue(other == null || other.equals(duty.get("holder")), () -> "one token, two holders: "
+                        + events);
             }
         }
         assertEquals(Json.encode(state.state()), Json.encode(restored(state).state()));
     }
 
-    private static Catalogue restored(Catalogue state) {
-        Catalogue copy = new Catalogue();
+    private static RegistryState restored(RegistryState state) {
+        RegistryState copy = new RegistryState();
         copy.restore(Json.parse(Json.encode(state.state())));
         return copy;
     }
--- a/registry/src/test/java/mastdrift/registry/ServiceTest.java
+++ b/registry/src/test/java/mastdrift/registry/ServiceTest.java
@@ -47,19 +47,21 @@
     private Replica replica;
     private int port;
 
-    private static int port() throws IOException {
+    private static int freePort() throws IOException {
         try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
             return socket.getLocalPort();
         }
     }
 
     private void start(String name) throws Exception {
-        int raft = port();
-        replica = new Replica(new Replica.Setup("registry-1", folder.resolve(name), new InetSocketAddress("127.0.0.1", 0),
-                new InetSocketAddress("127.0.0.1", raft), Map.of("registry-1", new Peers.Address("127.0.0.1:" + raft, "-")),
-                100), Clock.SYSTEM, new Catalogue(), new Disk());
+        int raft = freePort();
+        replica = new Replica(new Replica.Config("registry-1", folder.resolve(name),
+                new InetSocketAddress("127.0.0.1", 0),
+                new InetSocketAddress("127.0.0.1", raft), Map.of("registry-1", new ReplicaBootstrap.Address("127.0.0.1:"
+                + raft, "-")),
+                100), Clock.SYSTEM, new RegistryState(), new Disk());
         port = replica.port();
-        replica.begin();
+        replica.start();
         await(() -> replica.status().get("leader") != null);
     }
 
@@ -70,9 +72,9 @@
         }
     }
 
-    private static void await(Callable<Boolean> come) throws Exception {
+    private static void await(Callable<Boolean> condition) throws Exception {
         long end = System.nanoTime() + WAIT_SECONDS * 1_000_000_000L;
-        while (!come.call()) {
+        while (!condition.call()) {
             assertTrue(System.nanoTime() < end, "the condition was not met in time");
             Thread.sleep(10);
         }
@@ -82,19 +84,20 @@
     private String err = "";
 
     private int run(String... args) {
-        StringWriter printed = new StringWriter();
-        StringWriter complained = new StringWriter();
-        List<String> all = new java.util.ArrayList<>(List.of(args));
-        all.add("--registry");
-        all.add("127.0.0.1:" + port);
-        int status = Main.run(all.toArray(String[]::new), new PrintWriter(printed, true), new PrintWriter(complained, true));
-        out = printed.toString();
-        err = complained.toString();
+        StringWriter output = new StringWriter();
+        StringWriter errors = new StringWriter();
+        List<String> arguments = new java.util.ArrayList<>(List.of(args));
+        arguments.add("--registry");
+        arguments.add("127.0.0.1:" + port);
+        int status = Main.run(arguments.toArray(String[]::new), new PrintWriter(output, true),
+                new PrintWriter(errors, true));
+        out = output.toString();
+        err = errors.toString();
         return status;
     }
 
     @Test
-    void staffPutListDrainRemoveBackUpAndRestore() throws Exception {
+    void commandsPutListDrainRemoveBackUpAndRestore() throws Exception {
         start("one");
         assertEquals(0, run("endpoints", "put", "host-1", "127.0.0.1:9000", "--zone", "a"));
         assertEquals("host-1 at revision 1", out.strip());
@@ -117,7 +120,7 @@
         assertEquals(1, run("endpoints", "remove", "host-1"));
         assertEquals("no entry host-1", err.strip());
         assertEquals(0, run("registry", "restore", backup.toString()));
-        assertTrue(out.contains("1 entries, at revision " + (2 + Catalogue.RESTORED_JUMP)), out);
+        assertTrue(out.contains("1 entries, at revision " + (2 + RegistryState.RESTORE_REVISION_GAP)), out);
         byte[] bytes = Files.readAllBytes(backup);
         bytes[20] ^= 1;
         Files.write(backup, bytes);
@@ -126,13 +129,13 @@
         assertEquals(0, run("registry", "status"));
         assertTrue(out.contains("leader registry-1"), out);
         await(() -> run("registry", "members") == 0 && out.contains("registry-1~0  leads"));
-        HttpResponse<String> figures = HttpClient.newHttpClient().send(HttpRequest.newBuilder(URI.create(
+        HttpResponse<String> metrics = HttpClient.newHttpClient().send(HttpRequest.newBuilder(URI.create(
                 "http://127.0.0.1:" + port + "/metrics")).build(), HttpResponse.BodyHandlers.ofString());
-        assertTrue(figures.body().contains("registry_entries 1.0"), figures.body());
+        assertTrue(metrics.body().contains("registry_entries 1.0"), metrics.body());
     }
 
     @Test
-    void ordersForARollAreTakenAndShown() throws Exception {
+    void rollingRestartOrdersAreAcceptedAndShown() throws Exception {
         start("one");
         Path plan = folder.resolve("roll.toml");
         Files.writeString(plan, "[[gateway]]\nname = \"g\"\nadmin = \"127.0.0.1:1\"\n");
@@ -146,7 +149,7 @@
     }
 
     @Test
-    void staffTakeAZoneOutAndBack() throws Exception {
+    void commandsEvacuateAZoneAndReturnIt() throws Exception {
         start("one");
         for (String zone : new String[] {"a", "b", "c"}) {
             assertEquals(0, run("endpoints", "put", "host-" + zone, "127.0.0.1:9000", "--zone", zone));
@@ -166,13 +169,13 @@
 
     /** The agent joins on start and leaves on close; {@code members why} shows both. */
     @Test
-    void anAgentWithANameIsAMember() throws Exception {
+    void anAgentWithANameJoinsAndLeavesTheMembership() throws Exception {
         start("one");
-        int own = port();
-        Agent.Setup setup = new Agent.Setup(folder.resolve("agent"), new InetSocketAddress("127.0.0.1", own),
+        int own = freePort();
+        Agent.Config config = new Agent.Config(folder.resolve("agent"), new InetSocketAddress("127.0.0.1", own),
                 List.of(new InetSocketAddress("127.0.0.1", port)),
-                new Membership.Setup("agent-1", "agent", "a", "127.0.0.1:" + own + "/v1/agent"));
-        try (Agent agent = new Agent(setup, Clock.SYSTEM, new Disk())) {
+                new MembershipClient.Config("agent-1", "agent", "a", "127.0.0.1:" + own + "/v1/agent"));
+        try (Agent agent = new Agent(config, Clock.SYSTEM, new Disk())) {
             await(() -> run("members", "list") == 0 && out.contains("agent-1"));
             assertTrue(out.contains("view 1"), out);
         }
@@ -184,19 +187,20 @@
 
     /** Guards against a member that is stopped while its join is in progress and stays in the view. */
     @Test
-    void whoEndsInTheMidstOfJoiningLeaves() throws Exception {
+    void aMemberStoppedWhileJoiningLeaves() throws Exception {
         CountDownLatch joining = new CountDownLatch(1);
         CountDownLatch left = new CountDownLatch(1);
         EventLoopGroup loops = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-        HttpServer service = HttpServer.listen(loops, new InetSocketAddress("127.0.0.1", 0), call -> {
-            if (call.path().endsWith("/join")) {
+        HttpServer service = HttpServer.listen(loops, new InetSocketAddress("127.0.0.1", 0), exchange -> {
+            if (exchange.path().endsWith("/join")) {
                 joining.countDown();  // without a response
-            } else if (call.path().endsWith("/leave")) {
+            } else if (exchange.path().endsWith("/leave")) {
                 left.countDown();
-                call.respondJson(200, "{}");
+                exchange.respondJson(200, "{}");
             }
         });
-        Membership member = new Membership(new Membership.Setup("agent-1", "agent", "a", "127.0.0.1:1/v1/agent"),
+        MembershipClient member = new MembershipClient(new MembershipClient.Config("agent-1", "agent", "a",
+                "127.0.0.1:1/v1/agent"),
                 List.of("127.0.0.1:" + service.port()), Clock.SYSTEM);
         assertTrue(joining.await(WAIT_SECONDS, TimeUnit.SECONDS));
         member.close();
@@ -208,29 +212,32 @@
     /** Guards against agents that lose the service when their configured replica addresses are gone, also after a
         restart. */
     @Test
-    void anAgentFollowsAServiceThatMoves() throws Exception {
-        int to = port();
+    void anAgentFollowsReplicasThatMove() throws Exception {
+        int newPort = freePort();
         EventLoopGroup loops = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-        HttpServer.Handler service = call -> {
-            if (call.path().equals("/v1/registry")) {
-                call.respondJson(200, "{\"members\":{\"registry-1\":{\"id\":\"r~1\",\"mark\":1,\"http\":\"127.0.0.1:" + to + "\"}}}");
+        HttpServer.Handler service = exchange -> {
+            if (exchange.path().equals("/v1/registry")) {
+                exchange.respondJson(200,
+                        "{\"members\":{\"registry-1\":{\"id\":\"r~1\",\"mark\":1,\"http\":\"127.0.0.1:"
+                        + newPort + "\"}}}");
             } else {
-                call.startLineStream().writeLine("{\"rev\":1,\"all\":true,\"targets\":[{\"uid\":\"h\",\"endpoint\":\"127.0.0.1:1\"}]}");
+                exchange.startLineStream()
+                        .writeLine("{\"rev\":1,\"all\":true,\"targets\":[{\"uid\":\"h\",\"endpoint\":\"127.0.0.1:1\"}]}");
             }
         };
         HttpServer before = HttpServer.listen(loops, new InetSocketAddress("127.0.0.1", 0), service);
-        Agent.Setup setup = new Agent.Setup(folder.resolve("agent"), new InetSocketAddress("127.0.0.1", port()),
+        Agent.Config config = new Agent.Config(folder.resolve("agent"), new InetSocketAddress("127.0.0.1", freePort()),
                 List.of(new InetSocketAddress("127.0.0.1", before.port())), null);
-        try (Agent agent = new Agent(setup, Clock.SYSTEM, new Disk())) {
-            await(() -> Files.exists(setup.folder().resolve("replicas.json")));
+        try (Agent agent = new Agent(config, Clock.SYSTEM, new Disk())) {
+            await(() -> Files.exists(config.folder().resolve("replicas.json")));
         }
         before.close();
         CountDownLatch asked = new CountDownLatch(1);
-        HttpServer after = HttpServer.listen(loops, new InetSocketAddress("127.0.0.1", to), call -> {
+        HttpServer after = HttpServer.listen(loops, new InetSocketAddress("127.0.0.1", newPort), exchange -> {
             asked.countDown();
-            service.handle(call);
+            service.handle(exchange);
         });
-        try (Agent agent = new Agent(setup, Clock.SYSTEM, new Disk())) {
+        try (Agent agent = new Agent(config, Clock.SYSTEM, new Disk())) {
             assertTrue(asked.await(WAIT_SECONDS, TimeUnit.SECONDS));
         }
         after.close();
@@ -238,15 +245,15 @@
     }
 
     @Test
-    void whereNobodyAnswersTheStatusIsItsOwn() throws Exception {
-        port = port();
+    void anUnreachableServiceHasItsOwnExitStatus() throws Exception {
+        port = freePort();
         assertEquals(3, run("registry", "status"));
         assertTrue(err.startsWith("no replica answers"), err);
     }
 
     /** Guards against a replica that loses entries or revisions when it restarts. */
     @Test
-    void aReplicaGoesOnFromItsFolder() throws Exception {
+    void aReplicaRestartsFromItsFolder() throws Exception {
         start("one");
         run("endpoints", "put", "host-1", "127.0.0.1:9000");
         replica.close();
@@ -257,51 +264,51 @@
     }
 
     @Test
-    void anAgentServesTheLastListWithNoServiceInReach() throws Exception {
+    void anAgentServesTheSavedListWithoutReplicas() throws Exception {
         start("one");
         run("endpoints", "put", "host-1", "127.0.0.1:9000");
-        Agent.Setup setup = new Agent.Setup(folder.resolve("agent"), new InetSocketAddress("127.0.0.1", port()),
+        Agent.Config config = new Agent.Config(folder.resolve("agent"), new InetSocketAddress("127.0.0.1", freePort()),
                 List.of(new InetSocketAddress("127.0.0.1", port)), null);
-        String at = "http://127.0.0.1:" + setup.listen().getPort();
+        String at = "http://127.0.0.1:" + config.listen().getPort();
         HttpClient client = HttpClient.newHttpClient();
-        HttpRequest ask = HttpRequest.newBuilder(URI.create(at + "/v1/endpoints")).build();
-        try (Agent agent = new Agent(setup, Clock.SYSTEM, new Disk())) {
-            await(() -> client.send(ask, HttpResponse.BodyHandlers.ofString()).statusCode() == 200);
-            await(() -> Files.exists(setup.folder().resolve("list.json")));
+        HttpRequest request = HttpRequest.newBuilder(URI.create(at + "/v1/endpoints")).build();
+        try (Agent agent = new Agent(config, Clock.SYSTEM, new Disk())) {
+            await(() -> client.send(request, HttpResponse.BodyHandlers.ofString()).statusCode() == 200);
+            await(() -> Files.exists(config.folder().resolve("list.json")));
         }
         replica.close();
         replica = null;
-        try (Agent agent = new Agent(setup, Clock.SYSTEM, new Disk())) {
-            HttpResponse<String> list = client.send(ask, HttpResponse.BodyHandlers.ofString());
+        try (Agent agent = new Agent(config, Clock.SYSTEM, new Disk())) {
+            HttpResponse<String> list = client.send(request, HttpResponse.BodyHandlers.ofString());
             assertEquals(200, list.statusCode());
             assertTrue(list.body().contains("\"uid\":\"host-1\""), list.body());
             String status = client.send(HttpRequest.newBuilder(URI.create(at + "/v1/agent")).build(),
                     HttpResponse.BodyHandlers.ofString()).body();
             assertEquals("file", Json.parse(status).get("source"));
         }
-        Path file = setup.folder().resolve("list.json");
+        Path file = config.folder().resolve("list.json");
         byte[] bytes = Files.readAllBytes(file);
         Files.write(file, java.util.Arrays.copyOf(bytes, bytes.length - 1));
-        try (Agent agent = new Agent(setup, Clock.SYSTEM, new Disk())) {
-            assertEquals(503, client.send(ask, HttpResponse.BodyHandlers.ofString()).statusCode());
+        try (Agent agent = new Agent(config, Clock.SYSTEM, new Disk())) {
+            assertEquals(503, client.send(request, HttpResponse.BodyHandlers.ofString()).statusCode());
         }
     }
 
     /** Guards against gateways of a large fleet being refused by the one agent of their machine. */
     @Test
-    void aThousandGatewaysWatchOneAgent() throws Exception {
+    void anAgentAcceptsAThousandWatches() throws Exception {
         start("one");
         run("endpoints", "put", "host-1", "127.0.0.1:9000");
-        Agent.Setup setup = new Agent.Setup(folder.resolve("agent"), new InetSocketAddress("127.0.0.1", port()),
+        Agent.Config config = new Agent.Config(folder.resolve("agent"), new InetSocketAddress("127.0.0.1", freePort()),
                 List.of(new InetSocketAddress("127.0.0.1", port)), null);
         HttpClient client = HttpClient.newHttpClient();
-        HttpRequest ask = HttpRequest.newBuilder(
-                URI.create("http://127.0.0.1:" + setup.listen().getPort() + "/v1/endpoints")).build();
+        HttpRequest request = HttpRequest.newBuilder(
+                URI.create("http://127.0.0.1:" + config.listen().getPort() + "/v1/endpoints")).build();
         List<Socket> watches = new ArrayList<>();
-        try (Agent agent = new Agent(setup, Clock.SYSTEM, new Disk())) {
-            await(() -> client.send(ask, HttpResponse.BodyHandlers.ofString()).statusCode() == 200);
+        try (Agent agent = new Agent(config, Clock.SYSTEM, new Disk())) {
+            await(() -> client.send(request, HttpResponse.BodyHandlers.ofString()).statusCode() == 200);
             for (int i = 0; i < 1024; i++) {
-                Socket watch = new Socket("127.0.0.1", setup.listen().getPort());
+                Socket watch = new Socket("127.0.0.1", config.listen().getPort());
                 watches.add(watch);
                 watch.setSoTimeout(WAIT_SECONDS * 1000);
                 watch.getOutputStream().write(
--- a/rig/src/main/java/mastdrift/rig/Hooked.java
+++ b/rig/src/main/java/mastdrift/rig/Hooked.java
@@ -15,12 +15,12 @@
 import mastdrift.common.Disk;
 import mastdrift.common.HttpServer;
 import mastdrift.registry.Agent;
-import mastdrift.registry.Catalogue;
-import mastdrift.registry.Detector;
+import mastdrift.registry.RegistryState;
+import mastdrift.registry.FailureDetector;
 import mastdrift.registry.DutyCommands;
-import mastdrift.registry.Listing;
-import mastdrift.registry.Membership;
-import mastdrift.registry.Peers;
+import mastdrift.registry.EndpointList;
+import mastdrift.registry.MembershipClient;
+import mastdrift.registry.ReplicaBootstrap;
 import mastdrift.registry.Replica;
 
 /** Starts a process of ours with the rig's clock and disk in place of the machine's, which a file of hooks makes wrong while
@@ -35,15 +35,15 @@
         {@code agent folder listen replica...} or {@code member name zone folder listen address replica...} or
         {@code duty who term replica...}. */
     public static void main(String[] args) throws Exception {
-        mastdrift.registry.Main.logToOutput();
-        mastdrift.registry.Main.endOnFaults();
+        mastdrift.registry.Main.configureLogging();
+        mastdrift.registry.Main.exitOnUncaughtException();
         Hooks hooks = new Hooks(Path.of(args[0]));
         List<String> rest = Arrays.asList(args).subList(3, args.length);
         if (args[2].equals("registry")) {
-            Map<String, Peers.Address> peers = new LinkedHashMap<>();
+            Map<String, ReplicaBootstrap.Address> peers = new LinkedHashMap<>();
             rest.subList(4, rest.size()).forEach(peer -> peers.put(peer.split("=")[0],
-                    Peers.Address.of(peer.split("=")[1])));
-            Replica replica = new Replica(new Replica.Setup(rest.get(0), Path.of(rest.get(1)), HttpServer.parseAddress(rest.get(2)),
+                    ReplicaBootstrap.Address.parse(peer.split("=")[1])));
+            Replica replica = new Replica(new Replica.Config(rest.get(0), Path.of(rest.get(1)), HttpServer.parseAddress(rest.get(2)),
                     HttpServer.parseAddress(rest.get(3)), peers, WATCHES_MOST), hooks, variant(args[1], hooks), hooks.disk());
             Runtime.getRuntime().addShutdownHook(new Thread(() -> {
                 try {
@@ -52,21 +52,21 @@
                     System.err.println(e);
                 }
             }));
-            replica.begin();
+            replica.start();
         } else if (args[2].equals("member")) {
             List<String> replicas = rest.subList(5, rest.size());
-            Agent agent = new Agent(new Agent.Setup(Path.of(rest.get(2)), HttpServer.parseAddress(rest.get(3)),
+            Agent agent = new Agent(new Agent.Config(Path.of(rest.get(2)), HttpServer.parseAddress(rest.get(3)),
                     replicas.stream().map(HttpServer::parseAddress).toList(), null), hooks, hooks.disk());
-            Membership membership = new Membership(new Membership.Setup(rest.get(0), "agent", rest.get(1), rest.get(4)
+            MembershipClient membership = new MembershipClient(new MembershipClient.Config(rest.get(0), "agent", rest.get(1), rest.get(4)
                     + "/v1/agent"), replicas, hooks, detector(args[1], rest.get(0)), !args[1].equals(Variants.INCARNATION_KEPT));
             Runtime.getRuntime().addShutdownHook(new Thread(() -> {
                 membership.close();
                 agent.close();
             }));
         } else if (args[2].equals("duty")) {
-            DutyCommands.run("roll", rest.get(0), Long.parseLong(rest.get(1)), rest.subList(2, rest.size()), hooks, end());
+            DutyCommands.runDuty("roll", rest.get(0), Long.parseLong(rest.get(1)), rest.subList(2, rest.size()), hooks, end());
         } else {
-            Agent agent = new Agent(new Agent.Setup(Path.of(rest.get(0)), HttpServer.parseAddress(rest.get(1)),
+            Agent agent = new Agent(new Agent.Config(Path.of(rest.get(0)), HttpServer.parseAddress(rest.get(1)),
                     rest.subList(2, rest.size()).stream().map(HttpServer::parseAddress).toList(), null), hooks, hooks.disk());
             Runtime.getRuntime().addShutdownHook(new Thread(agent::close));
         }
@@ -158,20 +158,20 @@
     }
 
     /** Half a second between calls, as in service; the wrong one takes nobody's pauses into account. */
-    private static Detector detector(String variant, String name) {
-        return !variant.equals(Variants.FIXED_TIME_OUT) ? new Detector(name, 500_000) : new Detector(name, 500_000) {
+    private static FailureDetector detector(String variant, String name) {
+        return !variant.equals(Variants.FIXED_TIME_OUT) ? new FailureDetector(name, 500_000) : new FailureDetector(name, 500_000) {
             @Override
-            protected boolean silent(double phi, long quiet) {
+            protected boolean isSilent(double phi, long quiet) {
                 return quiet > 1_000_000;
             }
         };
     }
 
     /** Broken on purpose, each in one way that a checker has to find. */
-    private static Catalogue variant(String name, Clock clock) {
+    private static RegistryState variant(String name, Clock clock) {
         return switch (name) {
-            case "none" -> new Catalogue();
-            case "revision-reused" -> new Catalogue() {
+            case "none" -> new RegistryState();
+            case "revision-reused" -> new RegistryState() {
                 private boolean again;
 
                 @Override
@@ -180,25 +180,25 @@
                     return again ? rev() : super.nextRevision();
                 }
             };
-            case "lease-by-own-clock" -> new Catalogue() {
+            case "lease-by-own-clock" -> new RegistryState() {
                 private final long began = clock.wallMillis();
                 private long logTime = -1;
 
                 @Override
-                protected boolean lapses(String uid, long until) {
+                protected boolean isLeaseExpired(String uid, long until) {
                     logTime = logTime < 0 ? ((Number) state().get("time")).longValue() : logTime;
                     return until <= logTime + clock.wallMillis() - began;
                 }
             };
-            case "watch-skips-on-resume" -> new Catalogue() {
+            case "watch-skips-on-resume" -> new RegistryState() {
                 @Override
-                public synchronized Listing.Line since(long from) {
-                    return super.since(from > 0 && from + 2 < rev() ? from + 2 : from);
+                public synchronized EndpointList.UpdateLine updateSince(long from) {
+                    return super.updateSince(from > 0 && from + 2 < rev() ? from + 2 : from);
                 }
             };
-            case Variants.ONE_REMOVES -> new Catalogue() {
+            case Variants.ONE_REMOVES -> new RegistryState() {
                 @Override
-                protected int mark(int of, int watching) {
+                protected int scaledThreshold(int of, int watching) {
                     return 1;
                 }
             };
