--- a/registry/src/test/java/mastdrift/registry/ServiceTest.java
+++ b/registry/src/test/java/mastdrift/registry/ServiceTest.java
@@ -221,8 +221,8 @@
                         "{\"members\":{\"registry-1\":{\"id\":\"r~1\",\"mark\":1,\"http\":\"127.0.0.1:"
                         + newPort + "\"}}}");
             } else {
-                exchange.startLineStream()
-                        .writeLine("{\"rev\":1,\"all\":true,\"targets\":[{\"uid\":\"h\",\"endpoint\":\"127.0.0.1:1\"}]}");
+                exchange.startLineStream().writeLine(
+                        "{\"rev\":1,\"all\":true,\"targets\":[{\"uid\":\"h\",\"endpoint\":\"127.0.0.1:1\"}]}");
             }
         };
         HttpServer before = HttpServer.listen(loops, new InetSocketAddress("127.0.0.1", 0), service);
@@ -312,7 +312,8 @@
                 watches.add(watch);
                 watch.setSoTimeout(WAIT_SECONDS * 1000);
                 watch.getOutputStream().write(
-                        "GET /v1/endpoints?watch=1&from=0 HTTP/1.1\r\nHost: a\r\n\r\n".getBytes(StandardCharsets.UTF_8));
+                        "GET /v1/endpoints?watch=1&from=0 HTTP/1.1\r\nHost: a\r\n\r\n"
+                                .getBytes(StandardCharsets.UTF_8));
             }
             for (Socket watch : watches) {
                 BufferedReader answer = new BufferedReader(
