--- a/rig/src/main/java/mastdrift/rig/AcknowledgedCheck.java
+++ b/rig/src/main/java/mastdrift/rig/AcknowledgedCheck.java
@@ -8,8 +8,8 @@
 import java.util.Set;
 import mastdrift.rig.History.Event;
 
-/** No acknowledged write is lost: of each entry the last read (event {@code final}) holds the newest write that was
-    acknowledged, or one of which nobody heard; and no revision was given twice. */
+/** Checks that no acknowledged write is lost: the final read of each entry (event {@code final}) has the newest
+    acknowledged write, or one whose outcome is unknown; and that no revision was assigned twice. */
 final class AcknowledgedCheck implements Check {
 
     @Override
--- a/rig/src/main/java/mastdrift/rig/Addresses.java
+++ b/rig/src/main/java/mastdrift/rig/Addresses.java
@@ -6,11 +6,11 @@
 import java.net.ServerSocket;
 import java.util.concurrent.ThreadLocalRandom;
 
-/** Loopback addresses of a rig: each process has one of its own, and each pair of processes one for the link between them,
-    so that a process is reached by another at an address that nobody else uses. */
+/** The loopback addresses of a run: one for each process, and one for the link from each process to each other, so that
+    faults of one link touch no other. */
 final class Addresses {
 
-    /** So many processes fit, and so many plays side by side. */
+    /** The highest number of processes in a run. */
     static final int MOST = 200;
     private static final int FIRST_LINK_NET = 30;
     private static final int LEAST_PORT = 10_240;
@@ -18,17 +18,17 @@
 
     private final int lane;
 
-    /** Plays side by side have lanes of their own. */
+    /** {@code lane} is the slot of addresses; parallel runs use different slots. */
     Addresses(int lane) {
         this.lane = lane;
     }
 
-    /** Where the process with that number listens. */
+    /** The address on which the process with that number listens. */
     String own(int index) {
         return "127.21." + lane + "." + (within(index) + 1);
     }
 
-    /** Where {@code from} reaches {@code to}. */
+    /** The address at which process {@code from} reaches process {@code to}. */
     String link(int from, int to) {
         return "127." + (FIRST_LINK_NET + within(from)) + "." + within(to) + "." + (lane + 1);
     }
@@ -40,8 +40,8 @@
         return index;
     }
 
-    /** A port that is free there now, and below those that the system deals out to connections: one of these could be gone
-        between this look and the process's start. */
+    /** A port that is free at the address, below the ephemeral range: a port of that range could be taken by a
+        connection before the process starts. */
     static int port(String address) {
         IOException last = null;
         for (int tries = 0; tries < 100; tries++) {
@@ -55,7 +55,7 @@
                 last = e;
             }
         }
-        throw new IllegalStateException("no port on " + address + ": " + last.getMessage(), last);
+        throw new IllegalStateException("no free port on " + address + ": " + last.getMessage(), last);
     }
 
     static InetSocketAddress socket(String address, int port) {
--- a/rig/src/main/java/mastdrift/rig/BadClients.java
+++ b/rig/src/main/java/mastdrift/rig/BadClients.java
@@ -17,14 +17,14 @@
 import java.util.concurrent.TimeUnit;
 import mastdrift.lab.Dice;
 
-/** Clients that use up connections: some rest without a request, others stop in the middle of one and stay. Each that the
-    gateway ends comes back after a while. The history has, for each that stopped, how long it was left waiting. On the load's
-    event loop alone. */
+/** Misbehaving clients that use up connections: some are idle, others stall in the middle of a request. Each connects
+    again 1 s after the gateway has closed its connection. The history records how long each stalled client was kept.
+    Confined to the load's event loop. */
 final class BadClients {
 
     private static final String HALF_A_REQUEST = "POST /api HTTP/1.1\r\nHost: service.internal\r\nContent-Le";
     private static final int BACK_AFTER_MILLIS = 1000;
-    // More than half of the descriptors that the rig's configuration tells a gateway, which are for clients.
+    // More than half of the descriptors that the rig allows a gateway; that half is for clients.
     private static final int CROWD_A_GATEWAY = 600;
 
     private final EventLoop loop;
@@ -44,12 +44,12 @@
         crowd = dice.unit() < plan.crowd();
     }
 
-    /** Whether resting connections take all descriptors of all gateways. */
+    /** Whether idle connections use up all client descriptors of all gateways. */
     boolean crowd() {
         return crowd;
     }
 
-    /** They come from now on, dealt out over the gateways in turn. */
+    /** Connects all of them, spread evenly over the gateways. */
     void start(Map<String, InetSocketAddress> gateways) {
         List<String> names = List.copyOf(gateways.keySet());
         loop.execute(() -> {
@@ -100,7 +100,7 @@
         });
     }
 
-    /** All leave. */
+    /** Closes all connections. */
     void close() {
         loop.submit(() -> {
             closed = true;
--- a/rig/src/main/java/mastdrift/rig/Check.java
+++ b/rig/src/main/java/mastdrift/rig/Check.java
@@ -2,10 +2,10 @@
 
 import java.util.List;
 
-/** Holds a history against something that has to be true of it. */
+/** A checker: verifies an invariant against a recorded history. */
 interface Check {
 
-    /** What a history says; {@code undecided} where the search for an answer ran out of its budget. */
+    /** The result of a check; {@code undecided} if the search ran out of its budget. */
     record Verdict(String check, List<String> breaches, boolean undecided) {
 
         static Verdict of(String check, List<String> breaches) {
--- a/rig/src/main/java/mastdrift/rig/Checks.java
+++ b/rig/src/main/java/mastdrift/rig/Checks.java
@@ -5,7 +5,7 @@
 import java.util.TreeMap;
 import java.util.function.Supplier;
 
-/** All checkers by the names that plans call them by. */
+/** All checkers, by their names in plans. */
 final class Checks {
 
     private static final Map<String, Supplier<Check>> ALL = new TreeMap<>(Map.of(
--- a/rig/src/main/java/mastdrift/rig/Costs.java
+++ b/rig/src/main/java/mastdrift/rig/Costs.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** What processes of a stage took since a moment. */
+/** Measures the CPU time and memory of a test bed's processes. */
 final class Costs {
 
     private final Stage stage;
@@ -23,7 +23,7 @@
         return new Costs(stage);
     }
 
-    /** Cores that the busiest process used in the mean since then. */
+    /** The average number of cores that the busiest process has used since the start. */
     double cores() {
         double most = 0;
         for (Map.Entry<String, Duration> each : before.entrySet()) {
@@ -32,7 +32,7 @@
         return Math.round(1000 * most / (History.now() - began)) / 1000.0;
     }
 
-    /** Memory of the process that holds most, in megabytes. */
+    /** The resident memory of the largest process, in megabytes. */
     static long megabytes(Stage stage) throws IOException {
         long most = 0;
         for (Program program : stage.programs().values()) {
--- a/rig/src/main/java/mastdrift/rig/Crowd.java
+++ b/rig/src/main/java/mastdrift/rig/Crowd.java
@@ -28,15 +28,15 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * What the list service takes at a size: replicas as processes, so many entries, so many watches. Times are milliseconds.
- * A change's time runs from the beginning of its call to when the last watcher has read the line that tells it.
+ * Measures the list service, its replicas run as processes, with a number of entries and a number of open watches. A
+ * change's latency runs from the start of its call until the last watch has received the line with it.
  */
 final class Crowd implements AutoCloseable {
 
     private static final Duration WITHIN = Duration.ofSeconds(10);
     private static final int CALLS_AT_ONCE = 24;
     private static final int WATCH_LOOPS = 2;
-    private static final int LANE = 250;  // beside any plays
+    private static final int LANE = 250;  // not used by runs of plans
     private static final long AGAIN_MILLIS = 50;
     private static final int SILENCE_MILLIS = 20_000;
     private static final int CHANGES = 200;
@@ -56,16 +56,17 @@
     private final AtomicLong bytes = new AtomicLong();
     private final AtomicInteger ended = new AtomicInteger();
 
-    /** One watch: which revisions it was brought to, and when. On its event loop, read by others once all is still. */
+    /** One watch: the revisions that it received, and when. Written on its event loop, and read by the benchmark's
+        thread once all changes are delivered. */
     private static final class Reader {
         private volatile long rev;
         private final TreeMap<Long, Long> at = new TreeMap<>();  // microseconds by revision
     }
 
-    /** A change that was acknowledged. */
+    /** An acknowledged change. */
     private record Change(long rev, long began) { }
 
-    /** {@code replaced} hosts are replaced in the release that is played last. */
+    /** {@code replaced} is the number of hosts that the release at the end replaces. */
     Crowd(int entries, int watches, int replaced, int replicas, Path root, Path folder) throws IOException {
         this.entries = entries;
         this.watches = watches;
@@ -80,7 +81,8 @@
         this.replicas = stage.replicasFor(Stage.CLIENTS);
     }
 
-    /** Plays it once; throws IllegalStateException where the service can't do what is asked. */
+    /** Runs the benchmark once and returns its figures; throws IllegalStateException if changes are not delivered in
+        time. */
     Map<String, Object> play() throws IOException, InterruptedException {
         stage.start();
         Map<String, Object> figures = new LinkedHashMap<>();
@@ -116,7 +118,7 @@
         return figures;
     }
 
-    /** Hosts are replaced one after the other: the new one is put, the old one drained and removed. */
+    /** Replaces hosts one after the other: puts the new one, then drains and removes the old one. */
     private void release(Map<String, Object> figures) throws IOException, InterruptedException {
         int count = Math.min(replaced, entries);
         long linesBefore = lines.get();
@@ -158,7 +160,7 @@
         }, why -> ended.incrementAndGet());
     }
 
-    /** The first number of a line of discovery: a whole list is too long to be read for it. */
+    /** The revision of a line, found without parsing the line: a full list is long. */
     private static long revision(String line) {
         int from = line.indexOf("\"rev\":") + 6;
         int to = from;
@@ -217,7 +219,7 @@
         return new Change(call("PUT", "/v1/entries/" + uid, Json.encode(entry)), began);
     }
 
-    /** As callers do: one that is told that nothing was done comes again. */
+    /** Calls a replica, repeats the call while the answer is 503, and returns the revision in the answer. */
     private long call(String method, String path, String body) throws IOException, InterruptedException {
         String at = replicas.get(Math.floorMod(path.hashCode(), replicas.size()));
         long until = History.now() + WITHIN.toNanos() / 1000;
@@ -247,7 +249,7 @@
         long from = History.now();
         while (!until.getAsBoolean()) {
             if (History.now() - from > WAIT_MILLIS * 1000) {
-                throw new IllegalStateException("waited " + WAIT_MILLIS / 1000 + " s for " + what);
+                throw new IllegalStateException("timed out after " + WAIT_MILLIS / 1000 + " s waiting for " + what);
             }
             Thread.sleep(1);
         }
--- a/rig/src/main/java/mastdrift/rig/Draw.java
+++ b/rig/src/main/java/mastdrift/rig/Draw.java
@@ -8,10 +8,10 @@
 import mastdrift.common.Range;
 import mastdrift.lab.Dice;
 
-/** The faults of one seed: the same plan, names and seed give the same faults, whatever the machine. */
+/** Draws the faults of one seed. The same plan, process names and seed give the same faults on any machine. */
 final class Draw {
 
-    // SIGKILL comes so long behind the longest deadline after SIGTERM at the earliest; a longer deadline counts as this.
+    // The platform sends SIGKILL no earlier than the longest deadline, counted as 3 s at most, plus 0.7 s after SIGTERM.
     private static final long KILL_BEHIND_MILLIS = 700;
     private static final long LONGEST_COUNTED_MILLIS = 3000;
 
@@ -55,7 +55,8 @@
         return some;
     }
 
-    /** Those that the pattern names, in which a star stands for anything and a bar for or. */
+    /** The names that match the pattern, in which {@code *} stands for any text and {@code |} separates alternatives.
+        */
     static List<String> matching(List<String> names, String pattern) {
         StringBuilder expression = new StringBuilder();
         for (char c : pattern.toCharArray()) {
--- a/rig/src/main/java/mastdrift/rig/Fault.java
+++ b/rig/src/main/java/mastdrift/rig/Fault.java
@@ -5,51 +5,52 @@
 import java.util.TreeMap;
 
 /**
- * One fault as a seed drew it. Times are milliseconds from the beginning of the load.
+ * One fault as drawn by a seed. Times are milliseconds from the start of the load.
  *
- * @param id its place in the plan, from 0
- * @param at when it begins; with {@code when}, how long after the event was seen
- * @param span how long it lasts, 0 where it has no end
- * @param processes whom it befalls, or the callers of the links
- * @param others the called of the links, empty for a process's fault
- * @param size milliseconds, bytes or bytes a second, as the kind has it
- * @param spread the part by which a delay varies
- * @param back with which folder a process is started again
- * @param when an expression that a line of some process's log has to hold first; null for none
- * @param heal the part of the links that heal at its end; the rest only when all is healed
- * @param systemCall what fails, null for other kinds
+ * @param id its index in the schedule, from 0
+ * @param at when it starts; with {@code when}, how long after the log line was seen
+ * @param span how long it lasts, 0 for one without an end
+ * @param processes the affected processes; of a link fault, those that open the connections
+ * @param others the processes that a link fault's connections lead to; empty for other faults
+ * @param size milliseconds, bytes or bytes per second, depending on the kind
+ * @param spread the fraction by which a delay varies
+ * @param back the data folder with which a killed process is started again
+ * @param when a regular expression that a log line of some process has to match first; null for none
+ * @param heal the share of links that heal at its end; the others heal when all faults end
+ * @param systemCall the failing call, null for other kinds
  */
 record Fault(int id, Kind kind, long at, long span, List<String> processes, List<String> others, Link.Way way, double size,
         double spread, Back back, String when, double heal, SystemCall systemCall) {
 
-    /** What goes wrong; {@code link} between processes, or with a process itself. */
+    /** The kind of a fault; {@code link} is true if it affects links, false if it affects processes. */
     enum Kind {
-        /** No bytes one way or both, and no new connection comes up; after it, those of before go on. */
+        /** No bytes pass in one or both directions, and no new connection is established; open connections go on after
+            it. */
         CUT(true),
-        /** Connections are accepted and stay silent. */
+        /** Connections are accepted, but nothing passes. */
         SILENT(true),
-        /** Each piece is late by size milliseconds, more or less by the spread. */
+        /** All bytes are delayed by size milliseconds, varied by the spread. */
         DELAY(true),
-        /** Size bytes a second. */
+        /** At most size bytes pass per second. */
         TRICKLE(true),
-        /** After size more bytes of a connection nothing goes on. */
+        /** After size more bytes nothing passes on a connection. */
         STALL(true),
         /** After size more bytes a connection is reset. */
         RESET(true),
         /** New connections are refused, and those that are open are reset. */
         REFUSE(true),
         KILL(false), TERM(false), FREEZE(false),
-        /** SIGTERM, and SIGKILL as early as the platform may send it: 0.7 s and the longest deadline later. */
+        /** SIGTERM, then SIGKILL as early as the platform may send it: the longest deadline and 0.7 s later. */
         STOP(false),
         /** SIGHUP. */
         HANG_UP(false),
-        /** A host of the list is drained, and is gone and back cold after the span. */
+        /** A host is drained, and after the span replaced by a cold one. */
         REPLACE(false),
-        /** The process's files can't be written: full. */
+        /** The process's writes to files fail as on a full disk. */
         DISK_FULL(false),
-        /** Its Unix time jumps by size milliseconds, for the span. */
+        /** The process's Unix time is off by size milliseconds for the span. */
         CLOCK_JUMP(false),
-        /** Its clocks run at size times their speed, for the span. */
+        /** The process's monotonic clock runs at size times its speed for the span. */
         CLOCK_RATE(false),
         /** System calls of the process fail; the size is the error's argument. */
         SYSTEM_CALL(false);
@@ -61,16 +62,17 @@
         }
     }
 
-    /** With what a process comes back: its folder as left, an empty one, a copy from before the fault, or not at all. */
+    /** With which data folder a process is started again: as it was left, empty, a copy from before the fault, or
+        never. */
     enum Back { KEEP, EMPTY, OLDER, NEVER }
 
-    /** The same with one process, the leader of the moment; nobody where there is none. */
+    /** The same fault for the given process, in place of the leader's placeholder; for no process if it is null. */
     Fault of(String process) {
         return new Fault(id, kind, at, span, process == null ? List.of() : List.of(process), others, way, size, spread, back,
                 when, heal, systemCall);
     }
 
-    /** For the history. */
+    /** The fields for the history. */
     Map<String, Object> facts() {
         Map<String, Object> facts = new TreeMap<>();
         facts.put("id", id);
--- a/rig/src/main/java/mastdrift/rig/History.java
+++ b/rig/src/main/java/mastdrift/rig/History.java
@@ -14,11 +14,12 @@
 import java.util.stream.Stream;
 import mastdrift.common.Json;
 
-/** What happened, each call with its start and its end on the one clock that all processes of a machine share
-    ({@code CLOCK_MONOTONIC}, microseconds); kept in memory for the checkers and written as JSON Lines. */
+/** The recorded history of a run: calls, faults and observations with their start and end on the clock that all
+    processes of a machine share ({@code CLOCK_MONOTONIC}, microseconds). Held in memory for the checkers and written as
+    JSON Lines. */
 final class History {
 
-    /** The end of a call of which nobody heard whether it took effect. */
+    /** The end of a call whose outcome is unknown. */
     static final long NEVER = Long.MAX_VALUE;
 
     /**
@@ -26,9 +27,9 @@
      *
      * @param start microseconds
      * @param end likewise; {@link #NEVER} where the outcome is not known
-     * @param by who made it
-     * @param op what it was
-     * @param facts all else
+     * @param by the process or client that made it
+     * @param op the operation or kind of event
+     * @param facts all other fields
      */
     record Event(long start, long end, String by, String op, Map<String, Object> facts) {
 
@@ -74,7 +75,7 @@
         events.add(new Event(start, end, by, op, facts));
     }
 
-    /** What other processes have written in the same form; a last line that was cut short is left out. */
+    /** Adds the events of a file that another process wrote in the same form; skips a last line that is incomplete. */
     void addAll(Path file) {
         if (!Files.exists(file)) {
             return;
@@ -90,12 +91,12 @@
         }
     }
 
-    /** In the order of starts. */
+    /** All events, ordered by start. */
     synchronized List<Event> events() {
         return events.stream().sorted(Comparator.comparingLong(Event::start)).toList();
     }
 
-    /** Those of one kind, likewise. */
+    /** The events with that op, ordered by start. */
     List<Event> events(String op) {
         return events().stream().filter(event -> event.op.equals(op)).toList();
     }
--- a/rig/src/main/java/mastdrift/rig/HolderCheck.java
+++ b/rig/src/main/java/mastdrift/rig/HolderCheck.java
@@ -6,9 +6,9 @@
 import java.util.Map;
 import mastdrift.rig.History.Event;
 
-/** One holder at a time, and tokens that only grow: events {@code granted} and {@code effect} with {@code lease} and
-    {@code token}, both as the log and those who are acted on accepted them; an effect may have a {@code step}, which takes
-    place once. */
+/** Checks leases: one holder at a time, and fencing tokens that never decrease. Events {@code granted} (from the log)
+    and {@code effect} (as accepted by the target) have {@code lease} and {@code token}; an effect may have a {@code
+    step}, which must take place only once. */
 final class HolderCheck implements Check {
 
     @Override
--- a/rig/src/main/java/mastdrift/rig/Hooked.java
+++ b/rig/src/main/java/mastdrift/rig/Hooked.java
@@ -23,15 +23,15 @@
 import mastdrift.registry.Peers;
 import mastdrift.registry.Replica;
 
-/** Starts a process of ours with the rig's clock and disk in place of the machine's, which a file of hooks makes wrong while
-    it runs; and, where asked, in a variant that is broken on purpose. */
+/** Main class of an instrumented process: a replica, agent, member or duty candidate with a clock and a disk into which
+    the rig injects faults through a hooks file while it runs; and, if asked, in a variant that is broken on purpose. */
 public final class Hooked {
 
     private static final int WATCHES_MOST = 2000;
 
     private Hooked() { }
 
-    /** Arguments: file of hooks, variant or {@code none}, then {@code registry name folder listen raft name=peer...} or
+    /** Arguments: hooks file, variant or {@code none}, then {@code registry name folder listen raft name=peer...} or
         {@code agent folder listen replica...} or {@code member name zone folder listen address replica...} or
         {@code duty who term replica...}. */
     public static void main(String[] args) throws Exception {
@@ -73,7 +73,7 @@
         Thread.currentThread().join();
     }
 
-    /** Opens at SIGTERM, and gives a little time then. */
+    /** A latch that opens at SIGTERM; the process exits 1 s later, so that the duty can be released. */
     private static CountDownLatch end() {
         CountDownLatch end = new CountDownLatch(1);
         Runtime.getRuntime().addShutdownHook(new Thread(() -> {
@@ -87,8 +87,8 @@
         return end;
     }
 
-    /** What makes this process's clock and disk wrong: a file with {@code disk full}, {@code jump MILLIS} or {@code rate R}
-        on its lines, looked at whenever time is asked. */
+    /** The injected faults of this process's clock and disk. The file has lines {@code disk full}, {@code jump MILLIS}
+        or {@code rate R}; it is read again, at most every 20 ms, when the clock or the disk is used. */
     private static final class Hooks implements Clock {
 
         private static final long LOOK_NANOS = 20_000_000;
@@ -98,8 +98,8 @@
         private double rate = 1;
         private long jump;
         private boolean full;
-        private long real = System.nanoTime();  // as far as the wrong clock has been reckoned
-        private double shown = real;
+        private long real = System.nanoTime();  // real time of the last update
+        private double shown = real;  // faulty time at that moment
 
         Hooks(Path file) {
             this.file = file;
@@ -157,7 +157,8 @@
         }
     }
 
-    /** Half a second between calls, as in service; the wrong one takes nobody's pauses into account. */
+    /** The failure detector, with half a second between probes as in production. The broken variant has a fixed timeout
+        of 1 s in place of one that adapts to a peer's pauses. */
     private static Detector detector(String variant, String name) {
         return !variant.equals(Variants.FIXED_TIME_OUT) ? new Detector(name, 500_000) : new Detector(name, 500_000) {
             @Override
@@ -167,7 +168,7 @@
         };
     }
 
-    /** Broken on purpose, each in one way that a checker has to find. */
+    /** The replica's state machine, or a variant that is broken in one way that a checker has to find. */
     private static Catalogue variant(String name, Clock clock) {
         return switch (name) {
             case "none" -> new Catalogue();
--- a/rig/src/main/java/mastdrift/rig/LateAnswers.java
+++ b/rig/src/main/java/mastdrift/rig/LateAnswers.java
@@ -4,24 +4,25 @@
 import java.util.List;
 import mastdrift.rig.History.Event;
 
-/** Answers that came so late that they count as lost, and how much of that the machine and the play itself did. */
+/** Finds the responses that came so late that they count as lost, and how much of the delay is explained by a busy
+    machine or by injected faults. */
 final class LateAnswers {
 
-    // Up to so long behind its time an answer only earns nothing.
+    // A response that comes up to so long after its deadline is late, but not lost.
     private static final long LOST_BEHIND_MICROS = 500_000;
 
     /**
-     * One of them.
+     * A late response. Times are in microseconds.
      *
      * @param request the request's event
-     * @param late from the end of its time to its answer, in microseconds
-     * @param starved of that, how long a thread of its gateway or of the clients waited for a core
-     * @param frozen how long its gateway was stopped by a fault
-     * @param unaccepted how long no call to accept could succeed, by a fault, before its connection was there
+     * @param late from the deadline to the response
+     * @param starved how long threads of the gateway and of the clients waited for a core meanwhile
+     * @param frozen how long its gateway was frozen by a fault
+     * @param unaccepted how long a fault made all calls to accept fail, if the request had a new connection
      */
     record Answer(Event request, long late, long starved, long frozen, long unaccepted) {
 
-        /** Whether it would have been lost on a machine with a core to spare. */
+        /** Whether it counts as lost with the explained delays subtracted. */
         boolean lost() {
             return late - starved - frozen - unaccepted > LOST_BEHIND_MICROS;
         }
@@ -34,7 +35,8 @@
 
     private LateAnswers() { }
 
-    /** All answers over half a second behind their time, which counts from when the request was sent last. */
+    /** All responses that came over half a second after their deadline, which counts from when the request was last
+        sent. */
     static List<Answer> of(History history) {
         List<Event> delays = history.events(RunDelays.OP);
         List<Event> faults = history.events("fault");
@@ -57,12 +59,13 @@
         return answers;
     }
 
-    /** A client's connection is up before the gateway can have it: what is written meanwhile nobody can read. */
+    /** Whether the fault makes every accept fail: the kernel establishes a client's connection before the gateway
+        accepts it, and nobody can read what the client writes until then. */
     private static boolean failsEveryAccept(Event fault) {
         return "accept".equals(fault.text("call")) && fault.facts().get("rate") instanceof Number rate && rate.doubleValue() >= 1;
     }
 
-    /** How much of that time faults on that gateway took. */
+    /** How long faults of that gateway were active in that time. */
     private static long overlap(List<Event> faults, String gateway, long from, long to) {
         return faults.stream().filter(fault -> fault.facts().get("processes") instanceof List<?> names && names.contains(gateway))
                 .mapToLong(fault -> Math.max(0, Math.min(to, fault.end()) - Math.max(from, fault.start()))).sum();
--- a/rig/src/main/java/mastdrift/rig/Linearizability.java
+++ b/rig/src/main/java/mastdrift/rig/Linearizability.java
@@ -9,20 +9,20 @@
 import java.util.function.Predicate;
 
 /**
- * Whether calls that overlapped can be put in one order in which each takes effect between its start and its end. The
- * search is Wing and Gong's ("Testing and Verifying Concurrent Objects", 1993) with Lowe's memory of what was tried (2017):
- * the set of calls put in order so far and the state they lead to.
+ * Checks whether concurrent calls are linearizable: whether there is an order in which each takes effect between its start
+ * and its end. The search is Wing and Gong's ("Testing and Verifying Concurrent Objects", 1993) with Lowe's cache of visited
+ * configurations (2017): the set of calls ordered so far and the state that they lead to.
  */
 final class Linearizability<S> {
 
-    /** A call; {@code end} is {@link History#NEVER} for one whose outcome is not known: it may have taken effect at any time
+    /** A call; {@code end} is {@link History#NEVER} if its outcome is unknown: it may have taken effect at any time
         after its start, or never. */
     interface Call<S> {
         long start();
 
         long end();
 
-        /** The state after it, if what it told its caller fits this state. */
+        /** The state after the call, or empty if its result is impossible in this state. */
         Optional<S> after(S state);
     }
 
@@ -48,17 +48,17 @@
         return found ? Answer.YES : search.steps >= budget ? Answer.OUT_OF_BUDGET : Answer.NO;
     }
 
-    /** First without those of unknown outcome that nobody seems to have seen the effect of: an order without them is an order,
-        and far sooner found. Only where there is none are they tried as well. */
+    /** Searches first without the calls of unknown outcome whose effect nobody has {@code seen}, since an order without
+        them is valid and found much faster. Only if there is none, searches with all calls. */
     static <S> Answer of(List<? extends Call<S>> calls, Predicate<Call<S>> seen, S start, long budget) {
         List<? extends Call<S>> fewer = calls.stream().filter(call -> call.end() != History.NEVER || seen.test(call)).toList();
         return of(fewer, start, budget) == Answer.YES ? Answer.YES : of(calls, start, budget);
     }
 
-    /** A place in the search: what was put in order, and which call is to be tried next. */
+    /** A level of the search: the state reached, the call that led to it, and the next call to try. */
     private static final class Frame<S> {
         private final S state;
-        private final int taken;  // by which the frame before came here
+        private final int taken;  // the call that led here from the level above; -1 at the root
         private int next;
 
         Frame(S state, int taken) {
@@ -91,7 +91,7 @@
         return false;
     }
 
-    /** Puts one more call in order, if any can be. */
+    /** Appends the next possible call to the order and adds its frame to the path; false if there is none. */
     private boolean step(Frame<S> frame, List<Frame<S>> path, BitSet done, int[] known) {
         long firstEnd = firstEnd(done);
         for (int i = Math.max(frame.next, done.nextClearBit(0)); i < calls.size() && calls.get(i).start() <= firstEnd; i++) {
@@ -114,7 +114,7 @@
         return false;
     }
 
-    /** What is left may begin with no call that started after another had ended. */
+    /** The earliest end of the calls not ordered yet: none that started later may come next. */
     private long firstEnd(BitSet done) {
         long first = Long.MAX_VALUE;
         for (int i = done.nextClearBit(0); i < calls.size() && calls.get(i).start() <= first; i = done.nextClearBit(i + 1)) {
--- a/rig/src/main/java/mastdrift/rig/Link.java
+++ b/rig/src/main/java/mastdrift/rig/Link.java
@@ -23,17 +23,17 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.DoubleSupplier;
 
-/** What one process's connections to another go through: a relay that passes bytes on, and does to either direction what
-    faults say. All of a link is on one event loop, which alone touches its state. */
+/** A TCP relay for the connections from one process to another, which injects network faults into one or both
+    directions. All state of a link is confined to one event loop. */
 final class Link implements AutoCloseable {
 
-    /** From the caller to the called, back, or both. */
+    /** From the connecting process to the accepting one, back, or both. */
     enum Way { THERE, BACK, BOTH }
 
-    /** What befalls one direction. */
+    /** The active fault of one direction. */
     private record Trouble(Fault.Kind kind, double size, double spread) { }
 
-    // So many connections the system completes for a listener that accepts none, and one more.
+    // The system completes one connection more than this for a listener that accepts none.
     private static final int BACKLOG = 8;
     private static final int FILL_MOST = BACKLOG + 4;
     private static final int FILL_LOOK_MILLIS = 20;
@@ -49,7 +49,7 @@
     private Channel server;
     private Trouble there;
     private Trouble back;
-    private boolean down;  // no new connection comes up
+    private boolean down;  // no new connection is established
     private boolean refusing;
 
     private Link(EventLoop loop, InetSocketAddress at, InetSocketAddress to, DoubleSupplier unit) {
@@ -59,8 +59,8 @@
         this.unit = unit;
     }
 
-    /** A link that is up; {@code unit} draws from [0, 1) for delays. Throws IllegalStateException where its address is
-        taken. */
+    /** Opens a link that listens at {@code at} and relays to {@code to}; {@code unit} draws from [0, 1) for delays.
+        Fails if the address is taken. */
     static Link open(EventLoop loop, InetSocketAddress at, InetSocketAddress to, DoubleSupplier unit) {
         Link link = new Link(loop, at, to, unit);
         link.listen().syncUninterruptibly();
@@ -91,7 +91,7 @@
         pair.turn();
     }
 
-    /** Begins on one direction or both; the one before it there ends. */
+    /** Injects the fault into one direction or both, in place of any earlier fault there. */
     void begin(Fault fault) {
         loop.submit(() -> {
             Trouble trouble = new Trouble(fault.kind(), fault.size(), fault.spread());
@@ -112,7 +112,7 @@
         }).syncUninterruptibly();
     }
 
-    /** All is well from now on: what was held goes on, late. */
+    /** Ends all faults; bytes that were held back are delivered now. */
     void heal() {
         loop.submit(() -> {
             there = null;
@@ -132,8 +132,8 @@
         }).syncUninterruptibly();
     }
 
-    /** Takes all places of the listener's queue, so that the system drops what else would connect: a connection then never
-        comes up, as with a machine that is cut off. One filler after the other, until one does not come up. */
+    /** Fills the listener's backlog, so that the system drops further SYNs and connections time out, as with a machine
+        that is cut off. Opens one connection after the other until one is not established. */
     private void fill(int tries) {
         if (!down || tries >= FILL_MOST) {
             return;
@@ -153,7 +153,7 @@
         try {
             channel.config().setOption(ChannelOption.SO_LINGER, 0);
         } catch (io.netty.channel.ChannelException e) {
-            // it has ended already, which is what is wanted
+            // already closed
         }
         channel.close();
     }
@@ -167,11 +167,11 @@
         }).syncUninterruptibly();
     }
 
-    /** A caller's connection and its other half. */
+    /** A connection that was accepted from the caller, and the one to the target that it is relayed to. */
     private final class Pair {
 
         private final Channel caller;
-        private final boolean stray;  // the system took it before it heard of the cut: reset after it
+        private final boolean stray;  // completed by the system during a cut; reset when the cut ends
         private final Flow there;
         private Flow back;
         private Channel called;
@@ -204,7 +204,7 @@
             });
         }
 
-        /** A fault began or ended. */
+        /** Applies the link's faults after one has begun or ended, or the connection to the target is established. */
         void turn() {
             if (called == null && stray && !down) {
                 reset();
@@ -227,7 +227,8 @@
             pairs.remove(this);
         }
 
-        /** One half has ended, by itself or by the other: what is still on its way goes on first, unless it is held. */
+        /** One of the two connections was closed: delivers its pending bytes and closes the other, unless a fault
+            blocks them. */
         private void ended() {
             if (!caller.isActive() && called != null && !there.holds()) {
                 there.flushThenClose();
@@ -241,7 +242,7 @@
         }
     }
 
-    /** One direction of one connection. */
+    /** One direction of a relayed connection. */
     private final class Flow extends ChannelInboundHandlerAdapter {
 
         private final Pair pair;
@@ -250,7 +251,7 @@
         private final Deque<ByteBuf> late = new ArrayDeque<>();
         private Channel to;
         private Trouble trouble;
-        private double left;  // bytes until it stalls or resets
+        private double left;  // until a stall or reset
         private long lastDue;
         private boolean dripping;
 
@@ -316,7 +317,7 @@
                         piece.release();
                     }
                 }
-                default -> late.add(piece);  // held: came in before reading stopped
+                default -> late.add(piece);  // blocked: it was received before reading stopped
             }
         }
 
@@ -361,7 +362,7 @@
             to.flush();
         }
 
-        /** What was taken goes out before the other half ends as well. */
+        /** Writes the pending bytes, and then closes the destination. */
         void flushThenClose() {
             if (to != null && to.isActive()) {
                 release();
@@ -371,7 +372,7 @@
 
         @Override
         public void channelWritabilityChanged(ChannelHandlerContext context) {
-            Flow other = forth ? pair.back : pair.there;  // what is written here was read on the other half
+            Flow other = forth ? pair.back : pair.there;  // bytes written to this channel are read by the opposite flow
             if (other != null && other.to != null) {
                 other.from.config().setAutoRead(!other.holds() && other.to.isWritable());
             }
--- a/rig/src/main/java/mastdrift/rig/Lists.java
+++ b/rig/src/main/java/mastdrift/rig/Lists.java
@@ -12,16 +12,16 @@
 import mastdrift.common.HttpServer;
 import mastdrift.common.Json;
 
-/** The stand-in for the platform's discovery (PROTOCOL, "Discovery"): one address for each gateway, at which hosts have the
-    addresses of that gateway's links. On its event loop alone. */
+/** A replacement for the platform's discovery service (PROTOCOL, "Discovery"). It has one address for each gateway, and
+    lists hosts there with the addresses of that gateway's links. Confined to its event loop. */
 final class Lists implements AutoCloseable {
 
     private static final int ALIVE_SECONDS = 2;
 
-    /** A host as the list has it; the address is each gateway's own. */
+    /** A host in the list, without its address, which differs between gateways. */
     record Entry(String uid, String zone, String state, long bootMs, long rev) { }
 
-    /** How one gateway reaches a host. */
+    /** Gives the address and port at which a gateway reaches a host. */
     interface Reach {
         String endpoint(String gateway, String host);
     }
@@ -37,7 +37,8 @@
     private final List<HttpServer> servers = new ArrayList<>();
     private long rev;
 
-    /** {@code hides} tells gateways nothing of drains, though the history has it that they were told. */
+    /** With {@code hides} gateways are not told of drains, though the history records them as told: a broken variant.
+        */
     Lists(EventLoop loop, Reach reach, boolean hides, History history) {
         this.hides = hides;
         this.loop = loop;
@@ -47,12 +48,12 @@
                 TimeUnit.SECONDS);
     }
 
-    /** Answers that gateway there. */
+    /** Listens at that address for the gateway. */
     void serve(String gateway, InetSocketAddress at) throws IOException {
         servers.add(HttpServer.listen(loop, at, call -> handle(gateway, call)));
     }
 
-    /** A change, told to all that watch. */
+    /** Changes an entry and sends it to all watches. */
     void put(String uid, String zone, String state, long bootMs) {
         loop.submit(() -> {
             rev++;
@@ -66,7 +67,7 @@
         }).syncUninterruptibly();
     }
 
-    /** The whole list as a gateway has it. */
+    /** The full list with the gateway's own addresses. */
     Map<String, Object> whole(String gateway) {
         return loop.submit(() -> object(gateway, rev, true, present())).syncUninterruptibly().getNow();
     }
@@ -105,7 +106,7 @@
         return list;
     }
 
-    /** An entry as the protocol has it. */
+    /** An entry in the form of the discovery protocol. */
     static Map<String, Object> target(String uid, String endpoint, String zone, String state, long bootMs) {
         Map<String, Object> target = new LinkedHashMap<>();
         target.put("uid", uid);
--- a/rig/src/main/java/mastdrift/rig/Load.java
+++ b/rig/src/main/java/mastdrift/rig/Load.java
@@ -31,19 +31,20 @@
 import java.util.concurrent.TimeUnit;
 import mastdrift.lab.Dice;
 
-/** Open-loop clients: requests come when their seed says, whether earlier ones were answered or not, and a request's time
-    counts from when it was to be sent. A front deals them out among the gateways that say they are ready. On its event loop
-    alone. */
+/** An open-loop load generator: the seed decides when requests are sent, whether earlier ones were answered or not, and
+    a request's latency counts from when it was due. Requests are spread at random over the gateways that report ready,
+    as by a front-end load balancer. Confined to its event loop. */
 final class Load {
 
-    /** A class of requests as clients see it. */
+    /** A class of requests: its share of all requests, whether they carry an idempotency key, whether they are safe
+        (GET). */
     private record Type(String name, double share, boolean keyed, boolean safe) { }
 
     private static final List<Type> TYPES = List.of(new Type("leitura", 0.6, true, false),
             new Type("fechamento", 0.2, false, false), new Type("consulta", 0.2, false, true));
-    /** How long clients wait where a plan does not say. */
+    /** The deadline of requests if the plan sets none. */
     static final int DEADLINE_MILLIS = 670;
-    /** A client that has heard nothing for so long beyond its deadline never will. */
+    /** A request that has no response for so long after its deadline counts as unanswered. */
     static final int GIVE_UP_MILLIS = 8000;
     private static final int READY_EVERY_MILLIS = 200;
     private static final int READY_WITHIN_MILLIS = 1500;
@@ -58,7 +59,7 @@
     private final Map<String, Target> targets = new HashMap<>();
     private final CountDownLatch over = new CountDownLatch(1);
     private long until;
-    private long next;  // when the next request is to be sent, on the history's clock
+    private long next;  // microseconds on the history's clock
     private long sent;
     private int out;
     private boolean closed;
@@ -74,7 +75,7 @@
         gateways.forEach((name, at) -> targets.put(name, new Target(name, at)));
     }
 
-    /** Waits until all gateways say they are ready; false if that takes too long. */
+    /** Waits until all gateways report ready; false on timeout. */
     boolean ready(int seconds) throws InterruptedException {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(seconds);
         loop.execute(() -> targets.values().forEach(Target::look));
@@ -87,7 +88,7 @@
         return false;
     }
 
-    /** Sends from now on. */
+    /** Starts to send requests. */
     void start(long micros) {
         loop.execute(() -> {
             next = History.now();
@@ -96,7 +97,7 @@
         });
     }
 
-    /** Waits for the last answer. */
+    /** Waits until all requests have ended, and closes the connections. */
     void await() throws InterruptedException {
         over.await();
         loop.submit(() -> {
@@ -120,13 +121,14 @@
         }
     }
 
-    /** New connections go to gateways that say they are ready; those that are open are used for as long as they stay open. */
+    /** A random gateway among those that are ready. One that is not may still be chosen for its idle connections,
+        unless a new connection is asked for. Null if there is none. */
     private Target choose(boolean fresh) {
         List<Target> in = targets.values().stream().filter(target -> target.ready || !fresh && target.hasKept()).toList();
         return in.isEmpty() ? null : in.get(dice.below(in.size()));
     }
 
-    /** A gateway as the front sees it. */
+    /** A gateway with its readiness and its idle connections. */
     private final class Target {
 
         private final String name;
@@ -139,7 +141,7 @@
             this.at = at;
         }
 
-        /** Asks whether it is ready, again and again. */
+        /** Checks whether it is ready, and schedules the next check. */
         void look() {
             if (closed) {
                 return;
@@ -188,7 +190,7 @@
             return !idle.isEmpty();
         }
 
-        /** A connection that is open and that nobody uses, the one used last; or null. */
+        /** The idle connection that was used last, or null if there is none. */
         Channel kept() {
             return hasKept() ? idle.poll() : null;
         }
@@ -198,7 +200,7 @@
         }
     }
 
-    /** One request. */
+    /** One request, with the attempts to send it. */
     private final class Shot {
 
         private final long due;
@@ -206,13 +208,13 @@
         private final String trace;
         private final String key;
         private Target target;
-        private String before;  // the gateway whose connection ended under it, before it was sent once more
-        private long cutAt;  // when it ended
-        private long sentAt;  // the last time: from then on counts the time that its header tells
+        private String before;  // if it was sent again: the gateway that closed the connection without a response
+        private long cutAt;  // when that connection was closed
+        private long sentAt;  // the last time that it was sent; its deadline counts from then
         private boolean written;
         private boolean over;
-        private boolean last;  // on its connection, which is its own
-        private boolean reused;  // its connection, by which an answer has come before
+        private boolean last;  // sent on a new connection, which is closed after it
+        private boolean reused;  // its connection has carried a response before
         private Channel channel;
 
         Shot(long due) {
@@ -226,7 +228,8 @@
             loop.schedule(() -> end("unanswered", 0, null), deadlineMillis + GIVE_UP_MILLIS, TimeUnit.MILLISECONDS);
         }
 
-        /** Of so many tries: one that met no gateway, or a connection that the gateway was just closing, is made again. */
+        /** Sends it after so many earlier tries. A try whose connection failed, or was closed while it was reused, is
+            repeated up to three times. */
         void send(int tries) {
             last = plan.fresh() > 0 && dice.unit() < plan.fresh();
             target = choose(last);
@@ -273,7 +276,7 @@
             }
         }
 
-        /** Closes its connection, unless the answer has come. */
+        /** Closes the connection as a client that leaves, unless the response has come. */
         private void leave() {
             if (!over) {
                 end("left", 0, null);
@@ -281,7 +284,7 @@
             }
         }
 
-        /** The connection ended with no whole answer. */
+        /** The connection was closed before a complete response. */
         void cut(boolean reused) {
             if (over) {
                 return;
@@ -335,7 +338,7 @@
         }
     }
 
-    /** One connection: a request at a time. */
+    /** Handles the responses of one connection, which carries one request at a time. */
     private final class Answers extends SimpleChannelInboundHandler<FullHttpResponse> {
 
         private Shot shot;
--- a/rig/src/main/java/mastdrift/rig/LogWatch.java
+++ b/rig/src/main/java/mastdrift/rig/LogWatch.java
@@ -10,13 +10,13 @@
 import java.util.Map;
 import java.util.regex.Pattern;
 
-/** Looks for a line in logs that grow: each call looks at what has come since the one before. */
+/** Looks for a line in growing log files; each call reads only what was added since the one before. */
 final class LogWatch {
 
     private final Pattern pattern;
     private final Map<Path, Long> read = new HashMap<>();
 
-    /** What stands in the logs by now does not count. */
+    /** Lines that are in the logs already are skipped. */
     LogWatch(String expression, List<Path> logs) {
         pattern = Pattern.compile(expression);
         logs.forEach(log -> read.put(log, size(log)));
@@ -30,7 +30,7 @@
         }
     }
 
-    /** Whether it has been seen since. */
+    /** Whether a line that matches has been added since the last call. */
     boolean seen() {
         for (Map.Entry<Path, Long> each : read.entrySet()) {
             if (size(each.getKey()) <= each.getValue()) {
@@ -47,7 +47,7 @@
                     return true;
                 }
             } catch (IOException e) {
-                return false;  // it has been taken away with its folder
+                return false;  // the log was deleted with its folder
             }
         }
         return false;
--- a/rig/src/main/java/mastdrift/rig/MemberCheck.java
+++ b/rig/src/main/java/mastdrift/rig/MemberCheck.java
@@ -10,11 +10,11 @@
 import java.util.TreeSet;
 import mastdrift.rig.History.Event;
 
-/** Views against what was done to their members: nobody goes who was not touched by a fault, and in the end all that run are in the
-    newest view, and no others. */
+/** Checks views against the injected faults: no member is removed that no fault has affected, and at the end the newest
+    view has exactly the running members. */
 final class MemberCheck implements Check {
 
-    /** A member may go for a fault that has ended so long before: the last report may come late. */
+    /** A fault explains a removal for so long after its end, since the last report of a silent member may come late. */
     private static final long AFTER_MICROS = 6_000_000;
 
     @Override
@@ -62,7 +62,7 @@
                 && (named(fault, "processes", name) || named(fault, "others", name)));
     }
 
-    /** Who is only slow is to be waited for. */
+    /** A delay explains no removal: a slow member has to be waited for. */
     private static boolean slow(Event fault) {
         return "delay".equals(fault.text("kind"));
     }
--- a/rig/src/main/java/mastdrift/rig/PlanFile.java
+++ b/rig/src/main/java/mastdrift/rig/PlanFile.java
@@ -8,7 +8,7 @@
 import java.util.regex.PatternSyntaxException;
 import mastdrift.common.TomlFile;
 
-/** Reads a plan from TOML; all that is wrong with it is told at once, with file, line and key. */
+/** Reads a plan from TOML. All errors are reported together, with file, line and key. */
 final class PlanFile {
 
     private PlanFile() { }
@@ -17,7 +17,7 @@
         return plan(TomlFile.read(file));
     }
 
-    /** The same for a text. */
+    /** Reads a plan from a text; {@code name} stands for the file in error messages. */
     static RigPlan parse(String text, String name) throws TomlFile.ValidationException {
         return plan(TomlFile.parse(text, name));
     }
--- a/rig/src/main/java/mastdrift/rig/Play.java
+++ b/rig/src/main/java/mastdrift/rig/Play.java
@@ -16,10 +16,11 @@
 import mastdrift.lab.Dice;
 import org.HdrHistogram.Histogram;
 
-/** One play of a plan with one seed: starts all, lets clients come and faults happen, ends all, and judges the history. */
+/** One run of a plan with one seed: starts all processes, generates load, injects the faults, stops everything and
+    checks the recorded history. */
 final class Play {
 
-    /** What a play showed. */
+    /** The verdicts and figures of one run. */
     record Outcome(String plan, long seed, List<Check.Verdict> verdicts, Map<String, Object> figures) {
 
         boolean held() {
@@ -29,12 +30,19 @@
 
     private static final int READY_SECONDS = 120;
     private static final int AGREE_MILLIS = 3000;  // after the last fault
-    private static final int LOST_BEHIND_MILLIS = 500;  // an answer that is later than that counts as none
-    private static final int LAG_MILLIS = 1500;  // between the first who has a view and the last: they ask twice a second
+    // A response that comes later than this after its deadline counts as lost.
+    private static final int LOST_BEHIND_MILLIS = 500;
+    // Between the first and the last member to learn of a view: members poll twice a second.
+    private static final int LAG_MILLIS = 1500;
 
     private Play() { }
 
-    /** Leaves all files in the folder; plays side by side have lanes of their own. Throws IllegalStateException where the play itself could not be played. */
+    /**
+     * Runs the plan and writes all files into the folder.
+     *
+     * @param lane the slot of loopback addresses; parallel runs need different ones
+     * @throws IllegalStateException if the run itself failed, so that there is no verdict
+     */
     static Outcome of(RigPlan plan, long seed, List<Fault> faults, Stage.Setting setting, int lane, Path folder)
             throws IOException, InterruptedException {
         Program.delete(folder);
@@ -108,7 +116,8 @@
         return new Outcome(plan.name(), seed, verdicts, figures);
     }
 
-    /** Waits until the view has those that run, for as long as a slow machine may take: how long is a figure. */
+    /** Waits up to a minute until the view has exactly the running members; returns how long that took, in
+        milliseconds. */
     private static long membersAgree(Stage stage) throws InterruptedException {
         long from = History.now();
         for (int looks = 0; looks < 600 && !stage.membersAgree(); looks++) {
@@ -117,7 +126,7 @@
         return (History.now() - from) / 1000;
     }
 
-    /** Waits for the roll's end, for as long as a slow machine may take. */
+    /** Waits up to a minute for the rolling restart to end; returns the phase it is in then. */
     private static String rollEnds(Stage stage) throws InterruptedException {
         String phase = null;
         for (int looks = 0; looks < 600; looks++) {
@@ -138,7 +147,7 @@
                 plan.load(), seed, history);
     }
 
-    /** Where clients reach each gateway. */
+    /** The address at which clients reach each gateway, by the gateway's name. */
     private static Map<String, InetSocketAddress> gatewayAddresses(RigPlan plan, Stage stage) {
         Map<String, InetSocketAddress> gateways = new TreeMap<>();
         for (String name : Draw.matching(Stage.names(plan), "gateway-*")) {
@@ -151,13 +160,14 @@
         return ProcessHandle.current().info().totalCpuDuration().orElse(Duration.ZERO);
     }
 
-    /** Of the CPU time that all took together, the rig's own: its clients, links and lists. */
+    /** The share of all CPU time that the rig itself took, for its clients, links and discovery server. */
     private static double share(Duration own, Stage stage) {
         double others = stage.programs().values().stream().mapToDouble(program -> program.cpu().toMillis()).sum();
         return Math.round(1000.0 * own.toMillis() / Math.max(1, own.toMillis() + others)) / 1000.0;
     }
 
-    /** What came of the requests. Served means in time; times are milliseconds from when a request was due. */
+    /** Counts by outcome, and latencies in milliseconds from when a request was due. "served" counts only those in
+        time. */
     private static Map<String, Object> figures(History history, int deadlineMillis) {
         Map<String, Object> figures = new LinkedHashMap<>();
         Map<String, Integer> outcomes = new TreeMap<>();
@@ -192,8 +202,8 @@
         return figures;
     }
 
-    /** What came of writes to the list service, and how long after a replica's kill the first that began then was
-        acknowledged. */
+    /** Counts of writes to the list service, and for each kill of a replica how long it took until a write that began
+        after it was acknowledged. */
     private static void writes(History history, Map<String, Object> figures) {
         List<History.Event> writes = history.events().stream()
                 .filter(event -> event.op().equals("put") || event.op().equals("cas")).toList();
@@ -215,7 +225,7 @@
         }
     }
 
-    /** One line, for the file of all plays. */
+    /** The result as one line of results.jsonl. */
     static String line(Outcome outcome) {
         Map<String, Object> all = new LinkedHashMap<>();
         all.put("plan", outcome.plan());
--- a/rig/src/main/java/mastdrift/rig/Program.java
+++ b/rig/src/main/java/mastdrift/rig/Program.java
@@ -14,11 +14,11 @@
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Stream;
 
-/** A process that the rig starts, with a folder of its own for its files and its log; ended by its id. Commands come from
-    the rig's own thread of faults. */
+/** A process that the rig starts, with its own folder for its data and its log. Signals are sent to its process id
+    only. Called from the fault injector's thread while faults are injected. */
 final class Program {
 
-    /** Of it all that a start needs; {@code data} is the folder that it calls its own. */
+    /** What is needed to start it; {@code data} is the folder in which it stores its own files. */
     record Spec(String name, List<String> command, Map<String, String> environment, Path folder, Path workingFolder) {
         Path data() {
             return folder.resolve("data");
@@ -32,15 +32,15 @@
     private static final int END_SECONDS = 20;
     private static final int HEARS_AFTER_MILLIS = 1000;
 
-    /** Held while a process is started, and by whoever opens a socket that is to be gone once it is closed: a child has all of
-        its parent's sockets until it has closed them, which on a busy machine is later than the parent has. */
+    /** The lock held while a process is started, and around a socket whose port must be free once it is closed: a child
+        inherits its parent's sockets, and on a busy machine it may close them later than the parent does. */
     static final Object FORKING = new Object();
 
     private final Spec spec;
     private final Warden warden;
     private volatile Process process;
     private volatile long startedAt;
-    private Duration cpuBefore = Duration.ZERO;  // of the processes before this one
+    private Duration cpuBefore = Duration.ZERO;  // of earlier processes of this name
     private volatile boolean frozen;
 
     Program(Spec spec, Warden warden) {
@@ -85,47 +85,48 @@
         return alive() && !frozen;
     }
 
-    /** Null while it runs. */
+    /** The exit status; null while it runs or before its first start. */
     Integer status() {
         return alive() || process == null ? null : process.exitValue();
     }
 
-    /** Of all its processes so far. */
+    /** The CPU time of all its processes so far, restarts included. */
     Duration cpu() {
         return alive() ? cpuBefore.plus(process.info().totalCpuDuration().orElse(Duration.ZERO)) : cpuBefore;
     }
 
-    /** A line on its standard input; one who has gone does not hear it. */
+    /** Writes a line to its standard input; does nothing if it has ended. */
     void tell(String line) {
         try {
             OutputStream to = process.getOutputStream();
             to.write((line + "\n").getBytes(StandardCharsets.UTF_8));
             to.flush();
         } catch (IOException e) {
-            // it has ended, and its end is told elsewhere
+            // it has ended, which is reported elsewhere
         }
     }
 
-    /** SIGKILL, also of one that is frozen; waits until it is gone. */
+    /** Sends SIGKILL, which also ends a frozen process, and waits for its end. */
     void kill() {
         end("KILL");
     }
 
-    /** SIGTERM, whose end nobody waits for. */
+    /** Sends SIGTERM and does not wait. */
     void terminate() {
         if (alive()) {
             signal("TERM");
         }
     }
 
-    /** SIGHUP, unless the process has just begun: the platform sends none in the first second, nor before it is ready. */
+    /** Sends SIGHUP, but not in the process's first second: the platform sends none then, nor before the process is
+        ready. */
     void hangUp() {
         if (alive() && System.nanoTime() - startedAt > TimeUnit.MILLISECONDS.toNanos(HEARS_AFTER_MILLIS)) {
             signal("HUP");
         }
     }
 
-    /** SIGTERM; waits for its end, and kills it if that takes too long. True if it ended by itself. */
+    /** Sends SIGTERM, waits for its end, and kills it on timeout. True if it ended without being killed. */
     boolean term() {
         return end("TERM");
     }
@@ -178,17 +179,17 @@
         }
     }
 
-    /** Puts a copy of its folder aside, for {@link #older}; what changes under the copying is as it is met. */
+    /** Copies its data folder for {@link #older}, not atomically: files may change while they are copied. */
     void keepCopy() {
         copy(spec.data(), spec.folder.resolve("older"));
     }
 
-    /** Takes the copy in place of its folder; while it is down. */
+    /** Replaces its data folder by the copy; only while it is down. */
     void older() {
         copy(spec.folder.resolve("older"), spec.data());
     }
 
-    /** Leaves it nothing; while it is down. */
+    /** Deletes its data folder; only while it is down. */
     void wipe() {
         delete(spec.data());
     }
--- a/rig/src/main/java/mastdrift/rig/RegisterCheck.java
+++ b/rig/src/main/java/mastdrift/rig/RegisterCheck.java
@@ -9,14 +9,15 @@
 import java.util.stream.Collectors;
 import mastdrift.rig.History.Event;
 
-/** Reads, writes and compare-and-set of each entry of the list service are those of one register with a revision: events
-    {@code read}, {@code put}, {@code cas} with {@code key}, {@code value}, {@code rev}, {@code if_rev}, {@code ok}. */
+/** Checks that reads, writes and compare-and-sets of each entry of the list service are linearizable as those of a
+    register with a revision: events {@code read}, {@code put}, {@code cas} with {@code key}, {@code value}, {@code
+    rev}, {@code if_rev}, {@code ok}. */
 final class RegisterCheck implements Check {
 
     static final long BUDGET = 5_000_000;
-    private static final long UNKNOWN = -1;  // of a write of which nobody heard
+    private static final long UNKNOWN = -1;  // of a write whose outcome is unknown
 
-    /** An entry: its value, null where there is none, and the revision of the write that made it. */
+    /** An entry: its value, null if there is no entry, and the revision of the write that made it. */
     record Register(String value, long rev) {
 
         boolean may(long other) {
--- a/rig/src/main/java/mastdrift/rig/Report.java
+++ b/rig/src/main/java/mastdrift/rig/Report.java
@@ -14,14 +14,14 @@
 import mastdrift.common.Json;
 import org.HdrHistogram.Histogram;
 
-/** One page of all plays in a folder, which needs nothing beside it. */
+/** Writes self-contained HTML pages: of all runs in a folder, or of the benchmark of the list service. */
 final class Report {
 
     private static final String UPLOT = "/META-INF/resources/webjars/uplot/1.6.30/dist/";
 
     private Report() { }
 
-    /** Throws IOException where the folder holds no play. */
+    /** Writes the page of all runs in the folder; throws IOException if there are none. */
     static void write(Path folder, Path page) throws IOException {
         List<Path> plays;
         try (Stream<Path> all = Files.list(folder)) {
@@ -29,7 +29,7 @@
                     java.util.Comparator.comparingLong(Report::seed)).toList();
         }
         if (plays.isEmpty()) {
-            throw new IOException("no play in " + folder);
+            throw new IOException("no history.jsonl of a run in " + folder);
         }
         List<String> shown = new ArrayList<>();
         for (Path play : plays) {
@@ -38,7 +38,7 @@
         page("/rig.html", shown, page);
     }
 
-    /** Of what the list service took at each size: figures as JSON, a line each. */
+    /** Writes the page of the list service's benchmark; {@code figures} has a JSON object for each size. */
     static void crowd(List<String> figures, Path page) throws IOException {
         page("/crowd.html", figures, page);
     }
@@ -55,7 +55,7 @@
         return name.startsWith("seed-") ? Long.parseLong(name.substring(5)) : 0;
     }
 
-    /** Times are seconds from the beginning of the load. */
+    /** What the page shows of one run; times are seconds from the start of the load. */
     private static Map<String, Object> summary(History history) {
         History.Event began = history.events("began").get(0);
         Map<String, Object> play = new LinkedHashMap<>(began.facts());
@@ -107,7 +107,7 @@
     private static String resource(String name) throws IOException {
         try (InputStream in = Report.class.getResourceAsStream(name)) {
             if (in == null) {
-                throw new IOException("the rig lacks " + name);
+                throw new IOException("resource " + name + " is not on the class path");
             }
             return new String(in.readAllBytes(), StandardCharsets.UTF_8);
         }
--- a/rig/src/main/java/mastdrift/rig/Rig.java
+++ b/rig/src/main/java/mastdrift/rig/Rig.java
@@ -26,10 +26,11 @@
 import picocli.CommandLine.Spec;
 import picocli.CommandLine;
 
-/** The rig's commands. Exit status: 0 all held, 1 something was broken, 2 misuse or a play that could not be played. */
+/** The rig's commands. Exit status: 0 if every check held, 1 if one was broken, 2 for misuse or a run that failed. */
 @Command(name = "rig", mixinStandardHelpOptions = true, version = "0.1.0", synopsisSubcommandLabel = "COMMAND",
-        description = "Plays processes of the program under faults, and judges what they did.",
-        subcommands = {Rig.Run.class, Rig.Soak.class, Rig.MakeReport.class, Rig.Shrink.class, Rig.MakeCrowd.class, Rig.MakeTakeover.class, CommandLine.HelpCommand.class})
+        description = "Runs processes of the program under injected faults, and checks what they did.",
+        subcommands = {Rig.Run.class, Rig.Soak.class, Rig.MakeReport.class, Rig.Shrink.class, Rig.MakeCrowd.class,
+                Rig.MakeTakeover.class, CommandLine.HelpCommand.class})
 public final class Rig implements Runnable {
 
     static final int HELD = 0;
@@ -60,7 +61,7 @@
         throw new CommandLine.ParameterException(spec.commandLine(), "a command is needed");
     }
 
-    /** What both commands that play take. */
+    /** The arguments of the commands that run a plan. */
     abstract static class Playing implements Callable<Integer> {
 
         @Parameters(index = "0", arity = "0..1", paramLabel = "PLAN", description = "the plan, a TOML file")
@@ -71,11 +72,11 @@
         private Path out;
 
         @Option(names = "--root", paramLabel = "DIR", defaultValue = ".",
-                description = "the project's folder, with the program built (default: the present one)")
+                description = "the project's folder, with the program built (default: the current folder)")
         private Path root;
 
         @Option(names = "--broken", paramLabel = "NAME", defaultValue = Variants.NONE,
-                description = "plays a variant that is wrong on purpose, and has to end with status 1")
+                description = "runs a variant of the program that is broken on purpose, and has to end with status 1")
         private String variant;
 
         @Spec
@@ -94,7 +95,7 @@
             return plan;
         }
 
-        /** The plan where none is named. */
+        /** The plan to run if none is named on the command line. */
         Path usualPlan() {
             throw new CommandLine.ParameterException(spec.commandLine(), "Missing required parameter: 'PLAN'");
         }
@@ -121,7 +122,7 @@
         }
     }
 
-    @Command(name = "run", mixinStandardHelpOptions = true, description = "Plays a plan with each seed.")
+    @Command(name = "run", mixinStandardHelpOptions = true, description = "Runs a plan with each seed.")
     static class Run extends Playing {
 
         @Option(names = "--seeds", paramLabel = "SEEDS", defaultValue = "1", converter = Lab.Seeds.class,
@@ -129,7 +130,7 @@
         private List<Long> seeds;
 
         @Option(names = "--jobs", paramLabel = "N", defaultValue = "1",
-                description = "plays side by side (default: ${DEFAULT-VALUE}); figures of time need one at a time")
+                description = "runs in parallel (default: ${DEFAULT-VALUE}); latencies are only meaningful with one at a time")
         private int jobs;
 
         private synchronized void tell(Play.Outcome outcome, Path results) throws IOException {
@@ -184,7 +185,7 @@
         }
     }
 
-    @Command(name = "soak", mixinStandardHelpOptions = true, description = "Plays gateways under all kinds of faults, which "
+    @Command(name = "soak", mixinStandardHelpOptions = true, description = "Runs gateways under all kinds of faults, which "
             + "each seed draws from rig/plans/soak.toml, or from another plan.")
     static final class Soak extends Run {
 
@@ -195,10 +196,10 @@
     }
 
     @Command(name = "report", mixinStandardHelpOptions = true,
-            description = "Makes one page of the plays in a folder that 'run' left.")
+            description = "Writes one HTML page of the runs in a folder that 'run' wrote.")
     static final class MakeReport implements Callable<Integer> {
 
-        @Parameters(index = "0", paramLabel = "DIR", description = "what --out named")
+        @Parameters(index = "0", paramLabel = "DIR", description = "the folder given to 'run' by --out")
         private Path folder;
 
         @Spec
@@ -214,7 +215,7 @@
     }
 
     @Command(name = "shrink", mixinStandardHelpOptions = true,
-            description = "Leaves out one fault after the other, and tells the fewest with which a seed still breaks.")
+            description = "Removes one fault after the other, and prints those without which a seed no longer breaks.")
     static final class Shrink extends Playing {
 
         @Parameters(index = "1", paramLabel = "SEED")
@@ -242,7 +243,8 @@
     }
 
     @Command(name = "crowd", mixinStandardHelpOptions = true,
-            description = "Measures the list service at each size: a change's way to the last watcher, memory, CPU, a release.")
+            description = "Measures the list service at each size: time until the last watcher has a change, memory, CPU, "
+                    + "a release.")
     static final class MakeCrowd implements Callable<Integer> {
 
         @Option(names = "--entries", paramLabel = "N", split = ",", defaultValue = "1000,10000",
@@ -254,10 +256,11 @@
         private List<Integer> watches;
 
         @Option(names = "--replaced", paramLabel = "N", defaultValue = "600",
-                description = "hosts that are replaced within 10 s at the end (default: ${DEFAULT-VALUE})")
+                description = "hosts that the release at the end replaces within 10 s (default: ${DEFAULT-VALUE})")
         private int replaced;
 
-        @Option(names = "--replicas", paramLabel = "N", defaultValue = "3", description = "of the service (default: ${DEFAULT-VALUE})")
+        @Option(names = "--replicas", paramLabel = "N", defaultValue = "3",
+                description = "replicas of the list service (default: ${DEFAULT-VALUE})")
         private int replicas;
 
         @Option(names = "--out", paramLabel = "DIR", defaultValue = "target/crowd",
@@ -288,20 +291,23 @@
     }
 
     @Command(name = "takeover", mixinStandardHelpOptions = true,
-            description = "Measures how long a duty has no holder after its holder's kill, or clean stop, and what leases take.")
+            description = "Measures how long a duty has no holder after its holder is killed or stopped, and the cost of leases.")
     static final class MakeTakeover implements Callable<Integer> {
 
-        @Option(names = "--kills", paramLabel = "N", defaultValue = "50", description = "(default: ${DEFAULT-VALUE})")
+        @Option(names = "--kills", paramLabel = "N", defaultValue = "50",
+                description = "holders to kill (default: ${DEFAULT-VALUE})")
         private int kills;
 
-        @Option(names = "--stops", paramLabel = "N", defaultValue = "50", description = "(default: ${DEFAULT-VALUE})")
+        @Option(names = "--stops", paramLabel = "N", defaultValue = "50",
+                description = "holders to stop cleanly (default: ${DEFAULT-VALUE})")
         private int stops;
 
-        @Option(names = "--leases", paramLabel = "N", defaultValue = "1000", description = "(default: ${DEFAULT-VALUE})")
+        @Option(names = "--leases", paramLabel = "N", defaultValue = "1000",
+                description = "leases to hold at once (default: ${DEFAULT-VALUE})")
         private int leases;
 
         @Option(names = "--term-ms", paramLabel = "MILLIS", defaultValue = "3000",
-                description = "of the duty (default: ${DEFAULT-VALUE})")
+                description = "the duty's lease term (default: ${DEFAULT-VALUE})")
         private long term;
 
         @Option(names = "--out", paramLabel = "DIR", defaultValue = "target/takeover",
--- a/rig/src/main/java/mastdrift/rig/RollCheck.java
+++ b/rig/src/main/java/mastdrift/rig/RollCheck.java
@@ -6,11 +6,12 @@
 import java.util.Map;
 import mastdrift.rig.History.Event;
 
-/** A roll ends, complete or wholly back; no two gateways are out at once; a step is recorded once by each replica, and with
-    tokens that only grow. Events {@code standby} are moments at which a gateway said so, {@code recorded} a replica's log. */
+/** Checks a rolling restart: it ends as done or aborted; no two gateways are out of service at once; each replica
+    records a step once, with fencing tokens that never decrease. Events {@code standby} are moments at which a gateway
+    reported standby, {@code recorded} are from a replica's log. */
 final class RollCheck implements Check {
 
-    private static final long APART = 1_000_000;  // moments closer than this are one time out
+    private static final long APART = 1_000_000;  // reports of standby closer than this are one period out of service
 
     @Override
     public Verdict look(History history) {
@@ -27,7 +28,7 @@
             }
             last.put(event.by(), event.start());
             last.forEach((other, at) -> {
-                // The one that was out first said so after the other did, too.
+                // They overlap if the one that went out first still reports standby after the other has begun to.
                 boolean first = since.get(event.by()) < since.getOrDefault(other, Long.MAX_VALUE);
                 boolean both = first ? event.start() > since.get(other) : at > since.get(event.by());
                 if (!other.equals(event.by()) && both) {
--- a/rig/src/main/java/mastdrift/rig/RulesCheck.java
+++ b/rig/src/main/java/mastdrift/rig/RulesCheck.java
@@ -9,23 +9,25 @@
 import mastdrift.rig.History.Event;
 
 /**
- * The four rules (PROTOCOL and WIRE, section 14) on what clients and hosts saw. Verdicts hang on what happened, not on how
- * fast the machine was: an answer half a second behind its time is a breach unless a core was waited for.
+ * Checks the four rules for gateways (PROTOCOL and WIRE, section 14) against what clients and hosts recorded: no lost
+ * request, no duplicate, drains are honoured, no host is overloaded while cold. Verdicts don't depend on the machine's speed:
+ * a response half a second after its deadline is a breach unless a process waited for a core.
  */
 final class RulesCheck implements Check {
 
     private static final long DRAIN_GRACE = 1_500_000;
     private static final long DRAIN_SLACK = 1_500_000;  // for a busy machine; the bench has 50 ms
-    // Behind a client's close an attempt may begin for 0.1 s; a hold-up of 0.15 s and a busy machine are allowed for.
+    // The rules allow an attempt to start up to 0.1 s after its client has left; the rest is for a freeze of 0.15 s and a
+    // busy machine.
     private static final long DEPARTURE_HEARD = 500_000;
-    // The terms have 3 s; a busy machine is allowed for.
+    // The rules allow 3 s; the rest is for a busy machine.
     private static final long STUCK_ENDED_WITHIN = 4_000_000;
     private static final long AFTER_FAULT = 2_000_000;
     private static final long TOLD_AT_THE_LATEST = 6_000_000;
 
     private final List<String> breaches = new ArrayList<>();
 
-    /** When something was not as it should be, and with whom. */
+    /** An injected fault: when, of which kind, and which processes it affected. */
     private record Trouble(long start, long end, Set<String> processes, Set<String> others, String kind) {
         boolean overlaps(long from, long to) {
             return start <= to && end >= from;
@@ -64,7 +66,7 @@
         return names;
     }
 
-    /** What a gateway had taken it answers, unless it was killed or cut off from its clients. */
+    /** A gateway answers each request that it has accepted, unless it was killed or cut off from its clients. */
     private void lost(Map<String, Event> requests, List<Trouble> troubles) {
         for (Event request : requests.values()) {
             String outcome = request.text("outcome");
@@ -83,8 +85,8 @@
         }
     }
 
-    /** An answer half a second behind its time is lost, unless its client was cut off from the gateway, or a process waited for a
-        core for so long that it would have been in time. */
+    /** A response half a second after its deadline counts as lost, unless the client was cut off from the gateway, or
+        the delay is explained by a process that waited for a core or was frozen. */
     private void late(History history, List<Trouble> troubles) {
         for (LateAnswers.Answer answer : LateAnswers.of(history)) {
             Event request = answer.request();
@@ -96,8 +98,8 @@
         }
     }
 
-    /** A client that loses a kept connection sends its request once more, since the gateway may not have read it. One that a
-        host had begun by then had been read. */
+    /** A client whose reused connection is closed sends its request again, since the gateway may not have read it. If a
+        host had started the request by then, the gateway had read it and owed a response. */
     private void lostOnReuse(History history, Map<String, Event> requests, List<Trouble> troubles) {
         Set<String> told = new HashSet<>();
         for (Event begun : history.events("begin")) {
@@ -116,7 +118,7 @@
         }
     }
 
-    /** No attempt begins long after its client has left. */
+    /** No attempt is sent long after its client has left. */
     private void forNobody(History history, Map<String, Event> requests, List<Trouble> troubles) {
         for (Event begun : history.events("begin")) {
             Event request = requests.get(begun.text("trace"));
@@ -124,7 +126,7 @@
                     || begun.start() - request.end() <= DEPARTURE_HEARD) {
                 continue;
             }
-            // What was sent before may have been held on the way.
+            // It may have been sent before and delayed by a faulty link.
             boolean held = troubles.stream().anyMatch(trouble -> trouble.others.contains(begun.by())
                     && trouble.overlaps(request.start(), begun.start()));
             if (!held) {
@@ -134,7 +136,7 @@
         }
     }
 
-    /** A client that stops in the middle of a request is ended in time, unless its gateway itself was stopped. */
+    /** A client that stalls in the middle of a request is disconnected in time, unless its gateway was frozen. */
     private void stuckClients(History history, List<Trouble> troubles) {
         history.events("stuck-client-ended").stream().filter(event -> event.end() - event.start() > STUCK_ENDED_WITHIN)
                 .filter(event -> troubles.stream().noneMatch(trouble -> trouble.processes.contains(event.by())
@@ -152,8 +154,8 @@
                 breaches.add("duplicate: a host began " + trace + ", which no client sent");
                 return;
             }
-            // A client can't tell a connection that was closed from one whose gateway was killed with its request: it sends it
-            // once more, and that is no gateway's doing.
+            // A client can't tell a connection that was closed from one whose gateway was killed while it had the request:
+            // the copy is then the client's own.
             if (request.text("before") != null && troubles.stream().anyMatch(trouble -> trouble.kind.equals("kill")
                     && trouble.processes.contains(request.text("before")) && trouble.overlaps(request.start(), request.end()))) {
                 return;
@@ -190,7 +192,7 @@
                     && event.start() - since > DRAIN_GRACE + DRAIN_SLACK) {
                 Event request = requests.get(event.text("trace"));
                 String gateway = request == null ? "" : request.text("gateway");
-                // One that was stopped, or that discovery did not reach, need not have heard of it.
+                // A gateway that was stopped, or cut off from discovery, need not know of the drain.
                 boolean excused = troubles.stream().anyMatch(trouble -> trouble.overlaps(since, event.start())
                         && trouble.processes.contains(gateway) && (trouble.others.isEmpty()
                                 || trouble.others.stream().anyMatch(other -> other.startsWith("discovery"))));
--- a/rig/src/main/java/mastdrift/rig/RunDelays.java
+++ b/rig/src/main/java/mastdrift/rig/RunDelays.java
@@ -15,18 +15,18 @@
 import java.util.function.Supplier;
 import mastdrift.rig.History.Event;
 
-/** Writes down how long threads of processes were ready to run and waited for a core, as the kernel accounts it, so that a
-    checker can tell a process that was starved from one that was slow by itself. */
+/** Samples how long threads of processes were runnable but waited for a core, from the kernel's schedstat, so that
+    checkers can tell a process that was starved by the machine from one that was slow itself. */
 final class RunDelays implements AutoCloseable {
 
-    /** The events in the history; their facts are microseconds by thread. */
+    /** The op of its events in the history, whose facts are microseconds by thread. */
     static final String OP = "run_delay";
     private static final int EVERY_MILLIS = 50;
-    private static final long LEAST_MICROS = 1000;  // shorter waits are every process's
+    private static final long LEAST_MICROS = 1000;  // shorter waits are usual
 
     private final Supplier<Map<String, Long>> processes;
     private final History history;
-    private final Map<String, Long> sums = new HashMap<>();  // by process and thread, up to the last look
+    private final Map<String, Long> sums = new HashMap<>();  // microseconds up to the last sample, by process and thread
     private final ScheduledExecutorService thread = Executors.newSingleThreadScheduledExecutor(task -> {
         Thread made = new Thread(task, "run-delays");
         made.setDaemon(true);
@@ -34,7 +34,7 @@
     });
     private long lookedAt = History.now();
 
-    /** {@code processes} names those to be looked at, with their ids, anew at each look. */
+    /** {@code processes} gives the names and ids of the processes, and is asked at each sample. */
     RunDelays(Supplier<Map<String, Long>> processes, History history) {
         this.processes = processes;
         this.history = history;
@@ -61,19 +61,19 @@
                 }
             }
         } catch (IOException | DirectoryIteratorException | IllegalArgumentException ended) {
-            return;  // the process or the thread has ended, or the kernel does not tell
+            return;  // the process or the thread has ended, or the kernel has no schedstat
         }
         if (!waited.isEmpty()) {
             history.add(lookedAt, now, name, OP, waited);
         }
     }
 
-    /** The second number of a line of schedstat, which is in nanoseconds. */
+    /** The second number of a schedstat line, the time waited for a core, converted from nanoseconds. */
     private static long micros(String line) {
         return Long.parseLong(line.strip().split(" ")[1]) / 1000;
     }
 
-    /** How long the thread of that process that waited longest did so between two moments, in microseconds. */
+    /** The wait of the process's longest waiting thread between two moments, in microseconds. */
     static long longest(List<Event> delays, String process, long from, long to) {
         Map<String, Long> byThread = new HashMap<>();
         for (Event delay : delays) {
--- a/rig/src/main/java/mastdrift/rig/Saboteur.java
+++ b/rig/src/main/java/mastdrift/rig/Saboteur.java
@@ -12,12 +12,12 @@
 import java.util.concurrent.TimeUnit;
 import mastdrift.lab.Dice;
 
-/** Begins and ends the faults of one play, on a thread of its own, and writes down when it did. */
+/** Injects and ends the faults of one run on a thread of its own, and records each in the history. */
 final class Saboteur implements AutoCloseable {
 
     private static final int LOOK_MILLIS = 20;
-    private static final int SIGNAL_AGAIN_MILLIS = 100;  // a stop's further signals
-    private static final int UNLIST_MILLIS = 1000;  // so late the list hears of a host that died
+    private static final int SIGNAL_AGAIN_MILLIS = 100;  // between the signals of a STOP fault
+    private static final int UNLIST_MILLIS = 1000;  // from a host's death until it is listed as terminated
 
     private final Stage stage;
     private final History history;
@@ -35,7 +35,7 @@
         this.seed = seed;
     }
 
-    /** Time counts from now. */
+    /** Schedules the faults; their times count from now. */
     void start(List<Fault> faults) {
         for (Fault fault : faults) {
             if (fault.back() == Fault.Back.OLDER) {
@@ -129,7 +129,8 @@
         }
     }
 
-    /** {@code wholly}: what would heal in part heals in full. */
+    /** Ends a fault. Of a link fault only the drawn share of links heals, the rest at the end of the run, unless {@code
+        wholly} is set. */
     private void end(Fault fault, boolean wholly) {
         if (!open.remove(fault)) {
             return;
@@ -181,7 +182,7 @@
         }
     }
 
-    /** Beside the faults: a start may take long, and no other fault is to be late for it. */
+    /** Restarts on another thread, since a start may take long and must not delay other faults. */
     private void restart(String name) {
         starting.add(starts.submit(() -> {
             stage.restart(name);
@@ -189,8 +190,7 @@
         }));
     }
 
-    /** Ends all that is still on, and begins nothing any more. Throws IllegalStateException where a fault could not be
-        brought about. */
+    /** Ends all active faults and starts no more. Throws IllegalStateException if a fault could not be injected. */
     void heal() throws InterruptedException {
         try {
             thread.submit(() -> List.copyOf(open).forEach(fault -> end(fault, true))).get();
@@ -203,7 +203,7 @@
         thread.shutdownNow();
         thread.awaitTermination(1, TimeUnit.MINUTES);
         if (failure != null) {
-            throw new IllegalStateException("a fault could not be brought about: " + failure, failure);
+            throw new IllegalStateException("a fault could not be injected: " + failure, failure);
         }
     }
 
--- a/rig/src/main/java/mastdrift/rig/Stage.java
+++ b/rig/src/main/java/mastdrift/rig/Stage.java
@@ -28,8 +28,8 @@
 import mastdrift.common.Json;
 import mastdrift.lab.Dice;
 
-/** The processes of one play, the links between them, and what it takes to start them. Set up and taken down by the rig's
-    main thread; {@link #links} may be called from others. */
+/** The test bed of one run: its processes, the links between them, and all that is needed to start them. Set up and
+    closed by the rig's main thread; {@link #links} may be called from other threads. */
 final class Stage implements AutoCloseable {
 
     static final String CLIENTS = "clients";
@@ -40,11 +40,11 @@
     private static final long WAIT_MILLIS = 60_000;
 
     /**
-     * What is played, and from where.
+     * Which build of the program is run.
      *
      * @param root the project's folder
-     * @param deployed whether gateways start by the deploy file's {@code run}, or from the class path of the rig
-     * @param variant that of {@link Variants} which is broken on purpose
+     * @param deployed true if gateways are started by the deploy file's {@code run}, false for the rig's own class path
+     * @param variant one of {@link Variants}, broken on purpose, or {@code none}
      */
     record Setting(Path root, boolean deployed, String variant) { }
 
@@ -62,8 +62,8 @@
     private final Map<String, Integer> ports = new ConcurrentHashMap<>();
     private final Map<String, List<Link>> links = new ConcurrentHashMap<>();
     private final Map<String, Program> programs = new TreeMap<>();
-    private final Set<String> ended = ConcurrentHashMap.newKeySet();  // by a fault
-    private final Thread ender = new Thread(this::close);  // also where the rig is stopped in mid-play
+    private final Set<String> ended = ConcurrentHashMap.newKeySet();  // names of processes that a fault has stopped
+    private final Thread ender = new Thread(this::close);  // closes the test bed if the rig is stopped during a run
     private final AtomicBoolean closed = new AtomicBoolean();
     private final List<Thread> renewals = new ArrayList<>();
     private final Addresses addresses;
@@ -71,7 +71,8 @@
     private final Dice linkDice;
     private final SystemCallFaults systemCalls;
 
-    /** {@code folder} takes all files of this play. */
+    /** Starts nothing yet. All files of this run go to {@code folder}; {@code lane} is the slot of loopback addresses.
+        */
     Stage(RigPlan plan, long seed, Setting setting, int lane, Path folder, History history) throws IOException {
         addresses = new Addresses(lane);
         this.plan = plan;
@@ -88,7 +89,7 @@
         lists = new Lists(ownLoop, this::reach, setting.variant().equals(Variants.DRAINS_UNHEEDED), history);
     }
 
-    /** Of all processes of that plan, whichever the seed. */
+    /** The names of all processes and link endpoints of the plan; they don't depend on the seed. */
     static List<String> names(RigPlan plan) {
         List<String> names = new ArrayList<>(List.of(CLIENTS));
         for (int i = 0; i < plan.gateways().count(); i++) {
@@ -119,12 +120,14 @@
         return names;
     }
 
-    /** A gateway's second address is a place of its own: operators may be cut from it while clients are not. */
+    /** The link endpoint of a gateway's admin address, which faults can cut off while clients still reach the gateway.
+        */
     private static String adminOf(String gateway) {
         return "admin:" + gateway;
     }
 
-    /** The lists are each gateway's own, so that it reaches each host through a link of its own. */
+    /** The link endpoint of a gateway's own discovery server: each gateway is given its own links' addresses of the
+        hosts. */
     private static String listsOf(String gateway) {
         return DISCOVERY + ":" + gateway;
     }
@@ -137,7 +140,8 @@
         return programs;
     }
 
-    /** The ids of the processes by which a request goes: gateways that run, and the rig itself, whose clients they are. */
+    /** The ids of the processes on a request's path, by name: the running gateways, and the rig itself as the clients.
+        */
     Map<String, Long> gatewaysAndClients() {
         Map<String, Long> ids = new TreeMap<>();
         programs.forEach((name, program) -> {
@@ -161,17 +165,18 @@
         return names.indexOf(name);
     }
 
-    /** A port that stays that process's own. */
+    /** The process's port, chosen at the first call and the same from then on. */
     private int port(String name) {
         return ports.computeIfAbsent(name, n -> Addresses.port(addresses.own(index(n))));
     }
 
-    /** Where a process itself listens. */
+    /** The address and port on which the process listens, past all links. */
     String own(String name) {
         return addresses.own(index(name)) + ":" + port(name);
     }
 
-    /** Where one process reaches another: through a link, which opens with the first who asks. */
+    /** The address and port at which one process reaches another: that of the link between them, opened at the first
+        call. */
     String reach(String from, String to) {
         if (!plan.relay()) {
             return own(to);
@@ -180,7 +185,7 @@
         return addresses.link(index(from), index(to)) + ":" + port(to);
     }
 
-    /** All links from one process to another: two between replicas, by their logs and by calls. */
+    /** All links from one process to another. Replicas have two between them: one for calls and one for Raft. */
     synchronized List<Link> links(String from, String to) {
         if (!links.containsKey(from + ">" + to)) {
             open(from, to, port(to));
@@ -200,7 +205,7 @@
         }
     }
 
-    /** Starts all, and waits until all say that they serve. */
+    /** Starts all processes, and waits until the servers that others depend on are ready. */
     void start() throws IOException, InterruptedException {
         startRegistry();
         for (String name : Draw.matching(names, "host-*")) {
@@ -229,7 +234,7 @@
         }
     }
 
-    /** The others by their names, each through this process's own link. */
+    /** Writes a hosts file for the process, in which each other's name resolves to this process's own link to it. */
     private Path hostsFile(String name, List<String> others) throws IOException {
         StringBuilder known = new StringBuilder();
         for (String other : others) {
@@ -240,7 +245,7 @@
         return Files.writeString(folder.resolve(name).resolve("hosts"), known, StandardCharsets.UTF_8);
     }
 
-    /** Members reach each other by names, as replicas do: a view has one address of each. */
+    /** Members reach each other by name, as replicas do: a view has only one address for each member. */
     private void startMembers() throws IOException, InterruptedException {
         List<String> members = Draw.matching(names, "member-*");
         if (members.isEmpty()) {
@@ -258,7 +263,7 @@
                 && present.size() == members.size());
     }
 
-    /** What conductors are to do: take all gateways out and back, one after the other. */
+    /** Orders a rolling restart: the conductor takes each gateway out of service and back, one after the other. */
     void orderRoll() throws InterruptedException {
         List<Map<String, Object>> gateways = new ArrayList<>();
         for (String name : Draw.matching(names, "gateway-*")) {
@@ -276,17 +281,17 @@
         }));
     }
 
-    /** How far the roll is, as the log has it; null where no replica says. */
+    /** The phase of the rolling restart; null if no replica answers with one. */
     String rollPhase() {
         return duty("roll").get("state") instanceof Map<?, ?> known ? String.valueOf(known.get("phase")) : null;
     }
 
-    /** A duty as the log has it; nothing where no replica says. */
+    /** The state of a duty; an empty map if no replica answers. */
     Map<String, Object> duty(String name) {
         return askAny("/v1/duties/" + name);
     }
 
-    /** What the first replica that answers says of itself, or of what the path names. */
+    /** The answer to a GET of the path from the first replica that answers; an empty map if none does. */
     Map<String, Object> askAny(String path) {
         for (String replica : replicas()) {
             try {
@@ -298,7 +303,7 @@
         return Map.of();
     }
 
-    /** Notes which gateways say that they are on standby, until the play is over. */
+    /** Records which gateways report standby at their admin addresses, every 20 ms until the test bed is closed. */
     void watchGateways() {
         List<String> gateways = Draw.matching(names, "gateway-*");
         Thread thread = new Thread(() -> {
@@ -317,7 +322,7 @@
                             }
                         }
                     } catch (IOException e) {
-                        continue;  // it is frozen or gone, and says nothing
+                        continue;  // frozen or stopped
                     }
                 }
                 try {
@@ -336,16 +341,17 @@
         return Draw.matching(names, "registry-*");
     }
 
-    /** Where callers reach each replica. */
+    /** The address at which the caller reaches each replica. */
     List<String> replicasFor(String caller) {
         return replicas().stream().map(replica -> reach(caller, replica)).toList();
     }
 
-    /** Replicas reach each other by names, which each resolves to its own links: their log holds one address of each. */
+    /** Replicas reach each other by name, which each resolves to its own links: the Raft log has one address for each.
+        */
     private void startRegistry() throws IOException, InterruptedException {
         int raft = replicas().isEmpty() ? 0 : Addresses.port(addresses.own(index("registry-1")));
         for (String name : replicas()) {
-            Path known = hostsFile(name, replicas());  // opens the links for calls, before those for the log below
+            Path known = hostsFile(name, replicas());  // opens the links for calls, before those for Raft below
             List<String> command = new ArrayList<>(List.of(name, folder.resolve(name).resolve("data").toString(), own(name),
                     addresses.own(index(name)) + ":" + raft));
             for (String other : replicas()) {
@@ -380,7 +386,7 @@
         return folder.resolve(name).resolve("hooks.txt");
     }
 
-    /** What is wrong with its clock and disk from now on; nothing for an empty line. */
+    /** Sets the fault of the process's clock or disk; an empty line ends it. */
     void hook(String name, String line) {
         try {
             Files.writeString(hooks(name), line, StandardCharsets.UTF_8);
@@ -389,7 +395,7 @@
         }
     }
 
-    /** The replica that some replica takes for the leader; null while none does. */
+    /** The leader that the first replica with an answer names; null if none names one. */
     String leader() {
         for (String name : replicas()) {
             if (!programs.get(name).alive()) {
@@ -401,13 +407,13 @@
                     return leader.toString();
                 }
             } catch (IOException | IllegalArgumentException e) {
-                continue;  // the next may know
+                continue;  // the next replica may know
             }
         }
         return null;
     }
 
-    /** As staff would, past all links. */
+    /** Calls a replica at its own address, past all links and so past their faults. */
     private Map<String, Object> ask(String replica, String method, String path, String body) throws IOException {
         return askAt(own(replica), method, path, body);
     }
@@ -437,7 +443,7 @@
                             gone ? "" : Json.encode(entry));
                     return true;
                 } catch (java.io.FileNotFoundException e) {
-                    return gone;  // it is not there any more
+                    return gone;  // a DELETE of an entry that does not exist
                 } catch (IOException | IllegalArgumentException e) {
                     continue;
                 }
@@ -454,7 +460,8 @@
                 folder.resolve(name + ".events.jsonl").toString());
     }
 
-    /** A program of the rig's own class path, with the machine's small virtual machine. */
+    /** The command of a main class from the rig's own class path, with virtual machine options for a small footprint.
+        */
     private static List<String> java(String heap, String main, String... arguments) {
         List<String> command = new ArrayList<>(List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(), heap, "-XX:+UseSerialGC",
@@ -488,7 +495,7 @@
         program(name, command, environment);
     }
 
-    /** What the deploy file says of {@code run}. */
+    /** The {@code run} command of the deploy file. */
     private String run() throws IOException {
         Object run = org.tomlj.Toml.parse(root.resolve("deploy/balancer.toml")).get("run");
         return run.toString();
@@ -528,7 +535,7 @@
         return config;
     }
 
-    /** The classes with that deadline, and targets that are no longer. */
+    /** The request classes with that deadline, their latency targets reduced to it where they are longer. */
     private static List<?> withDeadline(List<?> classes, int deadlineMillis) {
         return classes.stream().map(each -> {
             Map<Object, Object> type = new LinkedHashMap<>((Map<?, ?>) each);
@@ -542,28 +549,29 @@
         return read(programs.get(name).spec().log()).contains(text);
     }
 
-    /** Throws IllegalStateException that tells what did not come within a minute, however slow the machine. */
+    /** Waits for the condition. Throws IllegalStateException if it does not hold within a minute, or if a process has
+        ended that no fault has stopped. */
     private void await(String what, BooleanSupplier come) throws InterruptedException {
         long end = System.nanoTime() + WAIT_MILLIS * 1_000_000;
         while (!come.getAsBoolean()) {
             programs.values().stream().filter(program -> !program.alive() && !ended.contains(program.name())).findAny()
                     .ifPresent(program -> {
-                        throw new IllegalStateException(program.name() + " ended with status " + program.status()
-                                + " before " + what + ", see " + program.spec().log());
+                        throw new IllegalStateException(program.name() + " exited with status " + program.status()
+                                + " while waiting for " + what + ", see " + program.spec().log());
                     });
             if (System.nanoTime() > end) {
-                throw new IllegalStateException("waited in vain for " + what);
+                throw new IllegalStateException("timed out waiting for " + what);
             }
             Thread.sleep(10);
         }
     }
 
-    /** Takes a host off the list, as one that has died is a little later. */
+    /** Lists a host as terminated, as the platform does some time after a host has died. */
     void unlist(String host) {
         listed(host, "terminated", 0);
     }
 
-    /** In both lists, the platform's stand-in and our own service, where there is one. */
+    /** Updates the host's entry in the platform's discovery server, and in our list service if the plan has one. */
     private void listed(String host, String state, long bootMs) {
         lists.put(host, host.split("-")[1], state, bootMs);
         if (!replicas().isEmpty()) {
@@ -580,7 +588,7 @@
         programs.get(host).tell("drain");
     }
 
-    /** A new process under the old name: a host is cold, and its start is told. */
+    /** Starts the process again. A host gets a new process that is cold, and the lists are told of its start time. */
     void restart(String name) {
         if (!name.startsWith("host-")) {
             programs.get(name).start();
@@ -612,7 +620,8 @@
         }
     }
 
-    /** Hosts renew their leases with the list service from now on, each through links of its own, as long as they run. */
+    /** Starts a thread for each host that renews its lease with the list service, through the host's own links, while
+        the host is running. */
     void keepRegistered() {
         long every = plan.hosts().leaseMs() / 3;
         if (every == 0 || replicas().isEmpty()) {
@@ -628,7 +637,7 @@
                         }
                         Thread.sleep(every);
                     } catch (IOException | IllegalArgumentException e) {
-                        continue;  // the next replica, at once
+                        continue;  // tries the next replica at once
                     } catch (InterruptedException e) {
                         return;
                     }
@@ -640,7 +649,7 @@
         }
     }
 
-    /** What hosts have written down, and what replicas say of duties in their logs. */
+    /** Adds to the history the hosts' events, and what the logs of replicas and members say of duties and views. */
     void collect() {
         Pattern granted = Pattern.compile("duty-granted (\\S+) to (\\S+) token (\\d+)");
         Pattern step = Pattern.compile("duty-step (\\S+) (.+) by (\\S+) token (\\d+)");
@@ -649,7 +658,7 @@
             for (String line : read(programs.get(name).spec().log()).lines().toList()) {
                 Matcher given = granted.matcher(line);
                 Matcher done = step.matcher(line);
-                // The order within one log is that of the commands; a replica that starts again tells them once more.
+                // A log has the commands in their order; a replica that is restarted writes them once more.
                 if (given.find()) {
                     history.add(order, order++, given.group(2), "granted", Map.of("lease", given.group(1) + "@" + name, "token",
                             Long.parseLong(given.group(3))));
@@ -675,7 +684,7 @@
         }
     }
 
-    /** Whether the service's view has just those members that run, and they have heard of it. */
+    /** Whether the list service's view has exactly the running members, and all of them have logged it. */
     boolean membersAgree() {
         Map<String, Object> shown = askAny("/v1/members");
         Set<String> present = new java.util.TreeSet<>();
@@ -687,19 +696,19 @@
                 && running.stream().allMatch(name -> said(name, "view " + shown.get("view") + " at "));
     }
 
-    /** Who runs now, for checkers that ask whether it is in the last view. */
+    /** Records the running processes, for the checkers that compare them with the last view. */
     void tellAlive() {
         long now = History.now();
         history.add(now, now, "rig", "alive", Map.of("names", programs.values().stream().filter(Program::running)
                 .map(Program::name).toList()));
     }
 
-    /** Ends all, gateways as a platform does; names those that had ended by themselves. */
+    /** Stops all processes, gateways by SIGTERM; returns a message for each process that had ended without a fault. */
     List<String> end() {
         List<String> crashed = new ArrayList<>();
         for (Program program : programs.values()) {
             if (!program.alive() && !ended.contains(program.name())) {
-                crashed.add(program.name() + " ended by itself with status " + program.status() + ", see "
+                crashed.add(program.name() + " exited unexpectedly with status " + program.status() + ", see "
                         + program.spec().log().getFileName());
             }
         }
@@ -711,7 +720,7 @@
         return crashed;
     }
 
-    /** It has been ended by a fault, and is not to come back; or has come back. */
+    /** Notes that a fault has stopped the process, or that it is running again, so that its end is no crash. */
     void meant(String name, boolean gone) {
         if (gone) {
             ended.add(name);
--- a/rig/src/main/java/mastdrift/rig/StandInHost.java
+++ b/rig/src/main/java/mastdrift/rig/StandInHost.java
@@ -27,8 +27,8 @@
 import mastdrift.lab.Dice;
 import mastdrift.lab.Machine;
 
-/** A host's process: the lab's model of a machine behind a real socket, in real time. It speaks what PROTOCOL says of hosts
-    and writes down each request that it begins; it ends when its standard input does. */
+/** Main class of a simulated host: the simulator's model of a machine, run in real time behind a real socket. It speaks
+    the protocol of hosts and records each request that it starts; it exits when its standard input is closed. */
 public final class StandInHost {
 
     private static final int CHOKE_AT = 7;
@@ -67,7 +67,8 @@
         }
     }
 
-    /** Arguments: name, address, cores, least and most work in milliseconds, seed, whether it is cold, file of events. */
+    /** Arguments: name, address, cores, minimum and maximum work in milliseconds, seed, whether it is cold, file of
+        events. */
     public static void main(String[] args) throws IOException {
         EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
         StandInHost host = new StandInHost(loop, args[0], Integer.parseInt(args[2]),
@@ -86,8 +87,8 @@
         System.exit(0);
     }
 
-    /** Answers itself for a while at another port: the figures are to be the gateways', not those of a virtual machine that has
-        compiled nothing yet. What it wrote down meanwhile has ids that no client has. */
+    /** Sends requests to itself at another port until the virtual machine has compiled the code, so that latencies are
+        those of the gateways. These requests have a prefix in their ids and are not recorded. */
     private static void warm(EventLoop loop, StandInHost host, String address) throws IOException {
         try (HttpServer own = HttpServer.listen(loop, new InetSocketAddress(address, 0), host::handle)) {
             for (int i = 0; i < WARM_CALLS; i++) {
@@ -99,7 +100,7 @@
         }
     }
 
-    /** Plays what is due by now, and comes back when the next is. */
+    /** Runs the model's events that are due, and schedules itself for the next. */
     private void turn() {
         agenda.runUntil(System.nanoTime() / 1000 - startedAt);
         long next = agenda.next();
@@ -157,7 +158,7 @@
         }
     }
 
-    /** What a host answers to the request with that id: the client knows by it that its answer is its own. */
+    /** The response body for the request with that id, by which the client knows that the response is its own. */
     static String body(String trace) {
         return "done " + trace;
     }
--- a/rig/src/main/java/mastdrift/rig/SystemCall.java
+++ b/rig/src/main/java/mastdrift/rig/SystemCall.java
@@ -7,39 +7,40 @@
 import java.util.stream.Collectors;
 
 /**
- * A system call that is to fail, or to behave as Linux documents but seldom shows.
+ * A system call that is made to fail, or to behave in a way that Linux documents but seldom shows.
  *
  * @param call which call
  * @param error how it fails
  * @param rate the probability that a call is affected, 0 to 1
- * @param side on which connections; calls that have none are affected whatever it says
+ * @param side on which descriptors; calls that belong to no connection are affected only by {@code ANY}
  */
 record SystemCall(Call call, Error error, double rate, Side side) {
 
-    /** The ways in which calls fail; the last four are no values of errno. */
+    /** The ways in which calls fail; the last four are not errno values. */
     enum Error {
         ECONNABORTED, EMFILE, ENFILE, ENOBUFS, ENOMEM, EPROTO, EINTR, EAGAIN, EADDRNOTAVAIL, ENETUNREACH, EHOSTUNREACH,
         ECONNREFUSED, ETIMEDOUT, ECONNRESET, EPIPE, EINVAL, ENOTCONN, EIO, ENOSPC,
-        /** Moves at most as many bytes as the fault's size. */
+        /** Transfers at most as many bytes as the fault's size. */
         SHORT,
         /** End of stream. */
         EOF,
-        /** Waits for the fault's size in milliseconds, then calls. */
+        /** Waits for the fault's size in milliseconds, then makes the call. */
         DELAY,
         /** The real-time clock is off by the fault's size in milliseconds. */
         STEP
     }
 
-    /** Connections that clients opened, connections that the process opened, or both; or its log. */
+    /** Accepted connections, connections that the process opened, any descriptor but the log, or standard output and
+        error. */
     enum Side { CLIENT, UPSTREAM, ANY, LOG }
 
-    /** The calls that can be made to fail, each with the errors that its manual page documents. */
+    /** The calls that can be made to fail, each with its possible errors as documented in its manual page. */
     enum Call {
         ACCEPT(Error.ECONNABORTED, Error.EMFILE, Error.ENFILE, Error.ENOBUFS, Error.ENOMEM, Error.EPROTO, Error.EINTR,
                 Error.EAGAIN),
         SOCKET(Error.EMFILE, Error.ENFILE, Error.ENOBUFS, Error.ENOMEM),
         CONNECT(Error.EADDRNOTAVAIL, Error.ENETUNREACH, Error.EHOSTUNREACH, Error.ECONNREFUSED, Error.ETIMEDOUT, Error.EINTR),
-        /** What a connect that went on in the background ends with. */
+        /** The result of a non-blocking connect, read by getsockopt. */
         CONNECT_RESULT(Error.EADDRNOTAVAIL, Error.ENETUNREACH, Error.EHOSTUNREACH, Error.ECONNREFUSED, Error.ETIMEDOUT),
         READ(Error.SHORT, Error.EAGAIN, Error.EINTR, Error.ECONNRESET, Error.ETIMEDOUT, Error.EHOSTUNREACH, Error.EOF),
         WRITE(Error.SHORT, Error.EAGAIN, Error.EINTR, Error.EPIPE, Error.ECONNRESET, Error.ETIMEDOUT, Error.ENOBUFS,
@@ -54,7 +55,7 @@
         SHUTDOWN(Error.ENOTCONN, Error.EIO),
         CLOSE(Error.EINTR, Error.EIO),
         OPEN(Error.EMFILE, Error.ENFILE, Error.EINTR, Error.EIO, Error.ENOSPC),
-        /** Of any file, the virtual machine's own among them. */
+        /** An open of any file, the virtual machine's own included. */
         OPEN_ANYWHERE(Error.EMFILE, Error.ENFILE),
         FSYNC(Error.EIO, Error.ENOSPC),
         CLOCK(Error.STEP);
@@ -80,7 +81,7 @@
         return Arrays.stream(Error.values()).filter(error -> error.name().equals(name)).findAny().orElse(null);
     }
 
-    /** The rule as the preloaded library reads it; the argument is the fault's size. */
+    /** The rule as a line of the preloaded library's control file; the argument is the fault's size. */
     String rule(long argument) {
         return String.join(" ", call.name().toLowerCase(Locale.ROOT), error.name(), Double.toString(rate),
                 side.name().toLowerCase(Locale.ROOT), Long.toString(argument));
--- a/rig/src/main/java/mastdrift/rig/SystemCallFaults.java
+++ b/rig/src/main/java/mastdrift/rig/SystemCallFaults.java
@@ -12,8 +12,8 @@
 import java.util.List;
 import java.util.Map;
 
-/** Makes system calls of processes fail, by a library of ours that is preloaded into each. Rules are written into a control
-    file, which the process maps; they can change while it runs. Commands come from one thread at a time. */
+/** Makes system calls of processes fail, by a library that is preloaded into each (rig/src/main/c). Rules are written
+    into a control file that the process maps, and can change while it runs. Used by one thread at a time. */
 final class SystemCallFaults {
 
     private static final int CONTROL_BYTES = 4096;
@@ -26,14 +26,15 @@
     private final Map<String, List<Fault>> active = new HashMap<>();
     private long generation;
 
-    /** The project's folder, and that for the control files and logs. */
+    /** {@code root} is the project's folder; control files and logs go to {@code folder}. */
     SystemCallFaults(Path root, Path folder, long seed) {
         this.root = root;
         this.folder = folder;
         this.seed = seed;
     }
 
-    /** What a process needs in its environment. Throws IllegalStateException where the library can't be compiled. */
+    /** The environment variables that a process needs. Throws IllegalStateException if the library can't be compiled.
+        */
     Map<String, String> environment(String name) throws IOException {
         Path library = library(root);
         Path control = control(name);
@@ -48,7 +49,7 @@
         return folder.resolve(name + ".faults");
     }
 
-    /** A line for each injected fault. */
+    /** The log of the process's injected faults, one on each line. */
     Path log(String name) {
         return folder.resolve(name + ".faults.log");
     }
@@ -63,7 +64,7 @@
         write(name);
     }
 
-    /** The first line, by which readers see that there is something new, comes last. */
+    /** Writes the process's active rules. The first line, by which the library detects a change, is written last. */
     private void write(String name) {
         generation++;
         String first = generation + " " + seed + "\n";
@@ -82,7 +83,7 @@
         }
     }
 
-    /** The compiled library, made anew where its source is newer. */
+    /** The compiled library, compiled again if its source is newer. */
     static synchronized Path library(Path root) throws IOException {
         Path source = root.resolve(SOURCE);
         Path library = root.resolve(LIBRARY);
--- a/rig/src/main/java/mastdrift/rig/Takeover.java
+++ b/rig/src/main/java/mastdrift/rig/Takeover.java
@@ -17,8 +17,9 @@
 import mastdrift.common.TomlFile;
 import org.HdrHistogram.Histogram;
 
-/** How long a duty is without a holder: candidates as processes, whose holder is killed, or ended, again and again; and what
-    many leases take. A time runs from the signal until the log has another holder, in milliseconds. */
+/** Measures how long a duty is without a holder after its holder, one of several candidate processes, is killed or
+    stopped; and the cost of many leases. A takeover's time runs from the signal until the replicas report another
+    holder. */
 final class Takeover implements AutoCloseable {
 
     private static final int LANE = 251;
@@ -48,7 +49,7 @@
         stage.start();
     }
 
-    /** So often the holder is ended; {@code kill} by SIGKILL, else by SIGTERM. */
+    /** Ends the holder so many times, by SIGKILL or else by SIGTERM, and measures each takeover. */
     Map<String, Object> end(int times, boolean kill) throws InterruptedException {
         Histogram all = new Histogram(WAIT_MICROS, 3);
         for (int i = 0; i < times; i++) {
@@ -87,7 +88,7 @@
         return figures;
     }
 
-    /** One holds the duty, and all others wait for it. */
+    /** Waits until one candidate holds the duty and all others wait for it; returns the duty's state. */
     private Map<String, Object> settled() throws InterruptedException {
         long from = History.now();
         while (true) {
@@ -95,18 +96,18 @@
             if (duty.get("holder") != null && duty.get("waiting") instanceof List<?> waiting && waiting.size() == candidates - 1) {
                 return duty;
             }
-            bounded(from, "a holder and " + (candidates - 1) + " who wait");
+            bounded(from, "a holder and " + (candidates - 1) + " waiting candidates");
             Thread.sleep(20);
         }
     }
 
     private static void bounded(long from, String what) {
         if (History.now() - from > WAIT_MICROS) {
-            throw new IllegalStateException("waited " + WAIT_MICROS / 1_000_000 + " s for " + what);
+            throw new IllegalStateException("timed out after " + WAIT_MICROS / 1_000_000 + " s waiting for " + what);
         }
     }
 
-    /** So many leases of that term, each renewed three times in it, for so long. */
+    /** Acquires so many leases, renews each three times a term for so many seconds, and measures the cost. */
     Map<String, Object> leases(int count, long termMillis, int seconds) throws IOException, InterruptedException {
         HttpClient client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).connectTimeout(WITHIN).build();
         List<String> replicas = stage.replicasFor(Stage.CLIENTS);
--- a/rig/src/main/java/mastdrift/rig/ViewCheck.java
+++ b/rig/src/main/java/mastdrift/rig/ViewCheck.java
@@ -8,9 +8,9 @@
 import java.util.Set;
 import mastdrift.rig.History.Event;
 
-/** Events {@code view} with {@code number} and {@code members}: a number has one content, nobody goes back, and all have the
-    newest within the bound that the event {@code healed} names in {@code within_ms}, but for what nobody had
-    {@code lag_ms} before that. Only those that are {@code alive} at the end can be late. */
+/** Checks views (events {@code view} with {@code number} and {@code members}): a number has one content, no member goes
+    back to an older view, and within {@code within_ms} of the event {@code healed} all members that are {@code alive}
+    at the end have the newest view. Views that nobody had {@code lag_ms} before that bound are not required. */
 final class ViewCheck implements Check {
 
     @Override
--- a/rig/src/main/java/mastdrift/rig/Warden.java
+++ b/rig/src/main/java/mastdrift/rig/Warden.java
@@ -5,8 +5,8 @@
 import java.io.Writer;
 import java.nio.charset.StandardCharsets;
 
-/** Ends the rig's processes when the rig itself was killed: a shell that is told their ids, and kills those that still run
-    once the pipe from the rig has ended. */
+/** Kills the rig's processes when the rig itself has been killed: a shell process that is told their ids through a
+    pipe, and kills those still running when the pipe is closed. */
 final class Warden implements AutoCloseable {
 
     private static final String SCRIPT = """
@@ -47,11 +47,11 @@
             to.write(line + "\n");
             to.flush();
         } catch (IOException e) {
-            throw new UncheckedIOException("the warden has gone", e);
+            throw new UncheckedIOException("the process reaper has ended", e);
         }
     }
 
-    /** Kills what still runs, too. */
+    /** Kills the processes that still run, and waits for the shell. */
     @Override
     public void close() {
         try {
--- a/rig/src/main/java/mastdrift/rig/WatchCheck.java
+++ b/rig/src/main/java/mastdrift/rig/WatchCheck.java
@@ -8,9 +8,9 @@
 import mastdrift.rig.History.Event;
 
 /**
- * What watchers were told (events {@code line} with {@code rev}, {@code all} and {@code values} by entry): revisions of one
- * watcher only grow, over its reconnects too; at one revision all have the same list; and no acknowledged write up to a
- * revision is missing there.
+ * Checks the lines that watchers received (events {@code line} with {@code rev}, {@code all} and {@code values} by entry):
+ * the revisions of a watcher never decrease, across reconnects too; at one revision all have the same list; and a list has
+ * every acknowledged write up to its revision.
  */
 final class WatchCheck implements Check {
 
@@ -23,7 +23,7 @@
         Map<String, List<Event>> byWatcher = new TreeMap<>();
         history.events("line").forEach(event -> byWatcher.computeIfAbsent(event.by(), w -> new ArrayList<>()).add(event));
         byWatcher.forEach(this::follow);
-        // By entry: the acknowledged writes in the order of their revisions.
+        // By entry, the acknowledged writes ordered by revision.
         Map<String, TreeMap<Long, String>> writes = new HashMap<>();
         Map<String, List<String>> unheard = new HashMap<>();
         for (Event event : history.events()) {
--- a/rig/src/main/java/mastdrift/rig/Work.java
+++ b/rig/src/main/java/mastdrift/rig/Work.java
@@ -21,15 +21,16 @@
 import mastdrift.common.Json;
 import mastdrift.lab.Dice;
 
-/** Callers of the list service: some put, compare and read entries, some watch; all that they do and are told goes into the
-    history. An entry's model holds the value, which no other write has. */
+/** A workload for the list service: writers put, compare-and-set and read entries, watchers follow the list, and all
+    calls and received lines are recorded in the history. An entry's model field holds the written value, unique to each
+    write. */
 final class Work implements AutoCloseable {
 
     private static final Duration WITHIN = Duration.ofSeconds(3);
     private static final int SILENCE_MILLIS = 5000;
 
     private final RigPlan.Work plan;
-    private final List<String> replicas;  // where callers reach them
+    private final List<String> replicas;  // addresses
     private final History history;
     private final EventLoop loop;
     private final long seed;
@@ -61,7 +62,7 @@
         }
     }
 
-    /** No more writes; who watches goes on. */
+    /** Stops the writers and waits for them; the watchers go on. */
     void stopWriting() throws InterruptedException {
         over = true;
         for (Thread thread : threads) {
@@ -71,7 +72,7 @@
 
     private void write(String name, Dice dice, double rate) {
         HttpClient client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).connectTimeout(WITHIN).build();
-        Map<String, Long> seen = new HashMap<>();  // revisions by key, for compare-and-set
+        Map<String, Long> seen = new HashMap<>();  // the last known revision by key, for compare-and-set
         try {
             while (!over) {
                 String key = "entry-" + dice.below(plan.entries());
@@ -121,7 +122,7 @@
             }
         } catch (ConnectException | java.net.http.HttpConnectTimeoutException e) {
             end = History.now();
-            facts.put("outcome", "refused");  // it never left
+            facts.put("outcome", "refused");  // the request was never sent
         } catch (IOException | IllegalArgumentException e) {
             facts.put("error", String.valueOf(e.getMessage()));
         }
@@ -148,12 +149,12 @@
             history.add(start, History.now(), name, op, facts);
             return true;
         } catch (IOException | IllegalArgumentException e) {
-            return false;  // nothing was learned
+            return false;
         }
     }
 
-    /** What there is in the end, of each entry and on each replica. Throws IllegalStateException where no replica answers
-        any more, though all faults are over. */
+    /** Records the final value of each entry and the final list of each replica. Throws IllegalStateException if a
+        replica does not answer although all faults have ended. */
     void readLast() throws InterruptedException {
         HttpClient client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).connectTimeout(WITHIN).build();
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(60);
@@ -161,7 +162,7 @@
             int turn = 0;
             while (!read(client, "rig", replicas.get(turn++ % replicas.size()), "entry-" + i, new HashMap<>(), "final")) {
                 if (System.nanoTime() > end) {
-                    throw new IllegalStateException("the list service does not answer though all faults are over");
+                    throw new IllegalStateException("the list service does not answer although all faults have ended");
                 }
                 Thread.sleep(50);
             }
@@ -172,7 +173,7 @@
                         .timeout(WITHIN).build(), HttpResponse.BodyHandlers.ofString()).body();
                 told("replica " + at, list);
             } catch (IOException e) {
-                throw new IllegalStateException("replica " + at + " does not answer though all faults are over", e);
+                throw new IllegalStateException("replica " + at + " does not answer although all faults have ended", e);
             }
         }
     }
@@ -196,7 +197,7 @@
         loop.submit(() -> watchers.forEach(Watcher::stop)).syncUninterruptibly();
     }
 
-    /** Follows one replica after the other, each from the revision that it has. */
+    /** Watches one replica at a time; when the stream ends, it resumes with another from the revision that it has. */
     private final class Watcher {
 
         private final String name;
--- a/rig/src/test/java/mastdrift/rig/ChecksTest.java
+++ b/rig/src/test/java/mastdrift/rig/ChecksTest.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Each checker is shown a history that is right, and the same one made wrong. */
+/** Gives each checker a correct history, and the same one with a breach. */
 class ChecksTest {
 
     private final History history = new History();
@@ -41,7 +41,8 @@
                 "status", 200, "deadline_ms", 100, "sent_at", sentAt);
     }
 
-    /** Guards against a loop that holds requests up: half a second behind its time an answer is lost. */
+    /** Guards against an event loop that delays requests unnoticed: a response counts as lost half a second after its
+        deadline. */
     @Test
     void anAnswerFarBehindItsTimeIsLost() {
         answer(1_000_000, 1_600_000);
@@ -50,8 +51,8 @@
         breaks("rules", "late_answer: 7 by gateway-1 501 ms behind its time, starved of a core for 0 ms of it");
     }
 
-    /** Guards against verdicts on a machine that is short of cores: the wait is the kernel's own figure, of one thread, in the
-        time of the request. */
+    /** Guards against false breaches on a busy machine. Only the wait for a core that the kernel reports for one thread
+        of that gateway during the request is subtracted. */
     @Test
     void whoWaitedForACoreIsNotBlamedForThatWait() {
         answer(1_000_000, 1_801_000);
@@ -63,8 +64,8 @@
         assertTrue(look("rules").held());
     }
 
-    /** Guards against blame for what nobody could read, and against an excuse for what was read: only new connections wait for
-        accept, and only where each call fails. */
+    /** Guards against false breaches for connections that could not be accepted, and against excusing others: only new
+        connections wait for accept, and only while every call fails. */
     @Test
     void whoseConnectionCouldNotBeAcceptedWaitsForThat() {
         add(1_000_000, 1_700_000, "rig", "fault", "kind", "system_call", "call", "accept", "rate", 0.9, "processes",
@@ -107,7 +108,7 @@
         breaks("linearizable", "on k");
     }
 
-    /** What nobody heard of may have taken effect, or not, but not undone itself. */
+    /** A write of unknown outcome may take effect at any later time, but once read it can't be undone. */
     @Test
     void aWriteOfWhichNobodyHeardMayShowOrNot() {
         put(1, 2, "a", 1);
@@ -240,7 +241,8 @@
         assertTrue(look("rules").held(), look("rules").toString());
     }
 
-    /** What a client itself sends again, since its gateway was killed, is no gateway's second copy; without the kill it is. */
+    /** A request that the client sends again since its gateway was killed is no duplicate; without the kill it is one.
+        */
     @Test
     void aClientsOwnSecondTryIsNoDuplicate() {
         add(1, 50, "clients", "request", "trace", "1", "class", "leitura", "outcome", "served", "gateway", "gateway-2",
@@ -281,7 +283,8 @@
         add(at, at, by, "view", "number", number, "members", List.of(members));
     }
 
-    /** Guards against a removal that nothing explains, against one that is slow and goes, and against ghosts. */
+    /** Guards against the removal of a member that no fault, or only a delay, has affected; and against a last view
+        that differs from the running members. */
     @Test
     void aMemberThatGoesForNothingOrIsMissingIsFound() {
         view(10, "member-a-1", 1, "member-a-1#5", "member-b-1#5", "member-c-1#5");
--- a/rig/src/test/java/mastdrift/rig/LinkTest.java
+++ b/rig/src/test/java/mastdrift/rig/LinkTest.java
@@ -21,12 +21,12 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** What each fault does to bytes that are on their way. Nothing is waited for by time but silence, which a slow machine only
-    makes longer. */
+/** Tests what each kind of link fault does to bytes in transit. Only silence is tested by a wait, which a slow machine
+    can't make fail. */
 class LinkTest {
 
-    private static final int WAIT_MILLIS = 30_000;  // for what has to come
-    private static final int SILENCE_MILLIS = 300;  // of what must not come
+    private static final int WAIT_MILLIS = 30_000;  // for bytes that must arrive
+    private static final int SILENCE_MILLIS = 300;  // without bytes that must not arrive
 
     private final EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
     private ServerSocket called;
@@ -109,7 +109,8 @@
     @Test
     void noConnectionComesUpThroughACutAndOneDoesAfterIt() throws Exception {
         link.begin(fault(Fault.Kind.CUT, Link.Way.BOTH, 0));
-        // The system completes a few before its queue is full: none of them reaches the other side, and then none comes up.
+        // The system completes a few connections until the backlog is full; none of them reaches the target, and later
+        // ones are not established.
         boolean[] refused = {false};
         for (int i = 0; i < 200 && !refused[0]; i++) {
             Socket socket = new Socket();
@@ -130,7 +131,7 @@
                         return;
                     }
                 } catch (SocketTimeoutException | SocketException e) {
-                    continue;  // one of those that came in the meantime
+                    continue;  // a connection that was opened during the cut
                 }
             }
         }
--- a/rig/src/test/java/mastdrift/rig/PlanTest.java
+++ b/rig/src/test/java/mastdrift/rig/PlanTest.java
@@ -8,6 +8,7 @@
 import mastdrift.common.TomlFile;
 import org.junit.jupiter.api.Test;
 
+/** Tests the reading of plans and the drawing of faults. */
 class PlanTest {
 
     private static final String GATEWAYS = """
@@ -45,7 +46,8 @@
         assertEquals(2, faults.get(1).processes().size());
     }
 
-    /** A fault that is added moves nothing of the others: a plan can grow and its seeds stay what they were. */
+    /** Guards against a fault added to a plan that changes what earlier faults draw: the plan's seeds would lose their
+        meaning. */
     @Test
     void aFurtherFaultMovesNoOther() throws Exception {
         RigPlan plan = PlanFile.parse(GATEWAYS, "some.toml");
--- a/rig/src/test/java/mastdrift/rig/PlayTest.java
+++ b/rig/src/test/java/mastdrift/rig/PlayTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Short plays with real processes. Verdicts hang on what happened; how long anything took is no part of them. */
+/** Short runs of plans with real processes. Verdicts depend on what happened, not on how long it took. */
 class PlayTest {
 
     private static final Path ROOT = Path.of("..").toAbsolutePath().normalize();
@@ -132,7 +132,8 @@
         assertTrue((Integer) outcome.figures().get("served") > 0, outcome.figures().toString());
     }
 
-    /** One is killed and stays away, one is frozen for a moment: only the first leaves, and all others agree on it. */
+    /** One member is killed for good and one is frozen briefly: only the first may be removed, and all others must
+        agree. */
     @Test
     void membersAgreeOnWhoHasGone() throws Exception {
         Play.Outcome outcome = play("""
@@ -164,7 +165,7 @@
         assertFalse(outcome.held(), outcome.verdicts().toString());
     }
 
-    /** The rig itself is killed: the warden ends what it started. */
+    /** Guards against processes that outlive a rig that was killed: the process reaper must end them. */
     @Test
     void whatTheRigStartedEndsWithIt() throws Exception {
         Path pid = folder.resolve("pid");
@@ -180,7 +181,7 @@
         assertFalse(child.isAlive());
     }
 
-    /** Starts a process that would run for long, and waits for its own end. */
+    /** Main class of a rig that starts a long-running process and waits to be killed. */
     static final class Doomed {
 
         public static void main(String[] args) throws IOException, InterruptedException {
--- a/rig/src/test/java/mastdrift/rig/SoakTest.java
+++ b/rig/src/test/java/mastdrift/rig/SoakTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The soak in short: the same plan, played with a few seeds, some of them with a crowd. */
+/** A short soak test: the plan of the soak with a few seeds, some of which exhaust the gateways' descriptors. */
 class SoakTest {
 
     private static final long CROWDED = 9;
@@ -34,7 +34,7 @@
         assertTrue((Integer) outcome.figures().get("served") > 0, outcome.figures().toString());
     }
 
-    /** Guards against a soak that no longer has a crowd in it. */
+    /** Guards against a soak in which no seed exhausts the gateways' descriptors any more. */
     @Test
     void someSeedsHaveACrowd() throws Exception {
         RigPlan.Load load = plan().load();
@@ -51,7 +51,7 @@
         assertFalse(plan.load().deadlineMs(1) == plan.load().deadlineMs(2));
     }
 
-    /** A gateway with longer deadlines may go on for longer before it is killed. */
+    /** A stopped gateway must get its longest deadline and 0.7 s before it is killed. */
     @Test
     void aStopIsFollowedByAKillAtTheEarliest() throws Exception {
         RigPlan plan = plan();
--- a/rig/src/test/java/mastdrift/rig/SystemCallFaultsTest.java
+++ b/rig/src/test/java/mastdrift/rig/SystemCallFaultsTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Real gateways whose system calls fail. Each play is short; verdicts hang on what became of requests. */
+/** Short runs of real gateways whose system calls fail. Verdicts depend on what became of the requests. */
 class SystemCallFaultsTest {
 
     private static final Path ROOT = Path.of("..").toAbsolutePath().normalize();
@@ -22,7 +22,8 @@
     @TempDir
     private Path folder;
 
-    /** Hosts' links are refused now and then, so that gateways dial; part of the clients connect anew for each request. */
+    /** Runs gateways with the given faults. Links to hosts are refused at times, so that gateways have to connect
+        again, and some clients use a new connection for each request. */
     private Play.Outcome play(String faults) throws Exception {
         RigPlan plan = PlanFile.parse("""
                 name = "system-calls"
@@ -83,8 +84,8 @@
         assertTrue((Integer) outcome.figures().get("served") > 0, outcome.figures().toString());
     }
 
-    /** For 2.5 s no connection can be accepted. Tries that are 1 s apart would be three at the most; some ms apart they are
-        hundreds, and ten on the slowest machine. */
+    /** Guards against a long pause after a failed accept. For 2.5 s every accept fails: retries 1 s apart would be
+        three at most; a few ms apart they are hundreds, and at least ten on a slow machine. */
     @Test
     void aFailedAcceptIsTriedAgainWithinMilliseconds() throws Exception {
         Play.Outcome outcome = play(fault("accept", "ENFILE", 1, "any"));
@@ -110,7 +111,8 @@
         assertTrue(logOf(1).contains("event=write_deferred"));
     }
 
-    /** Options that can't be set or read, calls that are interrupted, moved in pieces, or met by nothing though ready. */
+    /** Guards against connections closed because of errors that don't concern them: socket options that can't be set or
+        read, interrupted calls, partial transfers, and EAGAIN on a ready socket. */
     @Test
     void callsThatSayNothingOfAConnectionEndNone() throws Exception {
         Play.Outcome outcome = play(fault("setsockopt", "EINVAL", 0.3, "any") + fault("getsockopt", "EINVAL", 0.3, "any")
@@ -125,7 +127,8 @@
         assertEquals(0, ((Number) outcome.figures().get("sent_again")).longValue(), outcome.figures().toString());
     }
 
-    /** No socket, no address, no route: requests are answered all the same, and nothing runs on a wrong thread. */
+    /** Guards against lost requests, and callbacks off the event loop, when a connect fails at once: there is no
+        socket, no address or no route. */
     @Test
     void dialsThatFailAtOnceLoseNoRequest() throws Exception {
         Play.Outcome outcome = play(fault("socket", "ENFILE", 0.3, "any") + fault("connect", "EADDRNOTAVAIL", 0.2, "any")
@@ -137,7 +140,7 @@
         }
     }
 
-    /** Guards against requests that wait for the log: its disk is full, broken, or hangs for 2 s a line. */
+    /** Guards against requests that wait for the log while its disk is full, fails, or hangs for 2 s on each line. */
     @Test
     void aLogThatFailsOrHangsHoldsUpNoRequest() throws Exception {
         Play.Outcome outcome = play(fault("write", "ENOSPC", 0.3, "log") + fault("write", "EIO", 0.3, "log")
@@ -147,8 +150,8 @@
         assertEquals(0, ((Number) outcome.figures().get("lost_by_time")).longValue(), outcome.figures().toString());
     }
 
-    /** Guards against a class, or a file of the machine's, that is needed for the first time while no descriptor is left: hosts
-        fail, dials too, a new list comes, and a gateway stops. */
+    /** Guards against a class or a system file that is opened for the first time while no descriptor is left. Meanwhile
+        hosts and connects fail, a new list arrives, and a gateway stops. */
     @Test
     void aProcessThatCanOpenNothingGoesOnServing() throws Exception {
         Play.Outcome outcome = play(fault("open_anywhere", "EMFILE", 1, "any") + fault("socket", "EMFILE", 0.5, "any")
@@ -168,7 +171,8 @@
         assertFalse(logOf(1).contains("NoClassDefFound") || logOf(2).contains("NoClassDefFound"), logOf(1) + logOf(2));
     }
 
-    /** A loop that sleeps for 0.6 s now and then has to be caught by the rules, and told by the gateway as blocked. */
+    /** An event loop that sleeps for 0.6 s at times must be found by the rules checker, and logged as blocked by the
+        gateway. */
     @Test
     void aLoopThatSleepsIsCaught() throws Exception {
         Play.Outcome outcome = play(fault("epoll_wait", "DELAY", 0.05, "any", 600));
@@ -176,8 +180,8 @@
         assertTrue(logOf(1).contains("event=loop_late") && logOf(1).contains("cause=blocked"), logOf(1));
     }
 
-    /** Guards against connections that stay unread, and a listening socket that nobody looks at again: the system had no memory
-        to watch them. */
+    /** Guards against connections and listening sockets that are never read again after epoll_ctl had no memory to add
+        them. */
     @Test
     void whatTheSystemDoesNotWatchIsReadAllTheSame() throws Exception {
         Play.Outcome outcome = play(fault("epoll_add", "ENOMEM", 0.1, "any") + fault("accept", "EMFILE", 0.3, "any"));
@@ -185,7 +189,7 @@
         assertTrue(injected(1, "epoll_add") > 0);
     }
 
-    /** Guards against a loop that one call holds for as long as the system goes on failing it. */
+    /** Guards against an event loop that retries an aborted accept without end and does nothing else. */
     @Test
     void anAcceptThatIsAbortedWithoutEndHoldsUpNobody() throws Exception {
         Play.Outcome outcome = play(fault("accept", "ECONNABORTED", 1, "any"));
