--- a/rig/src/main/java/mastdrift/rig/Draw.java
+++ b/rig/src/main/java/mastdrift/rig/Draw.java
@@ -11,7 +11,8 @@
 /** Draws the faults of one seed. The same plan, process names and seed give the same faults on any machine. */
 final class Draw {
 
-    // The platform sends SIGKILL no earlier than the longest deadline, counted as 3 s at most, plus 0.7 s after SIGTERM.
+    // The platform sends SIGKILL no earlier than the longest deadline, counted as 3 s at most, plus 0.7 s after
+    // SIGTERM.
     private static final long KILL_BEHIND_MILLIS = 700;
     private static final long LONGEST_COUNTED_MILLIS = 3000;
 
--- a/rig/src/main/java/mastdrift/rig/Linearizability.java
+++ b/rig/src/main/java/mastdrift/rig/Linearizability.java
@@ -9,9 +9,9 @@
 import java.util.function.Predicate;
 
 /**
- * Checks whether concurrent calls are linearizable: whether there is an order in which each takes effect between its start
- * and its end. The search is Wing and Gong's ("Testing and Verifying Concurrent Objects", 1993) with Lowe's cache of visited
- * configurations (2017): the set of calls ordered so far and the state that they lead to.
+ * Checks whether concurrent calls are linearizable: whether there is an order in which each takes effect between its
+ * start and its end. The search is Wing and Gong's ("Testing and Verifying Concurrent Objects", 1993) with Lowe's cache
+ * of visited configurations (2017): the set of calls ordered so far and the state that they lead to.
  */
 final class Linearizability<S> {
 
--- a/rig/src/main/java/mastdrift/rig/RulesCheck.java
+++ b/rig/src/main/java/mastdrift/rig/RulesCheck.java
@@ -10,15 +10,15 @@
 
 /**
  * Checks the four rules for gateways (PROTOCOL and WIRE, section 14) against what clients and hosts recorded: no lost
- * request, no duplicate, drains are honoured, no host is overloaded while cold. Verdicts don't depend on the machine's speed:
- * a response half a second after its deadline is a breach unless a process waited for a core.
+ * request, no duplicate, drains are honoured, no host is overloaded while cold. Verdicts don't depend on the machine's
+ * speed: a response half a second after its deadline is a breach unless a process waited for a core.
  */
 final class RulesCheck implements Check {
 
     private static final long DRAIN_GRACE = 1_500_000;
     private static final long DRAIN_SLACK = 1_500_000;  // for a busy machine; the bench has 50 ms
-    // The rules allow an attempt to start up to 0.1 s after its client has left; the rest is for a freeze of 0.15 s and a
-    // busy machine.
+    // The rules allow an attempt to start up to 0.1 s after its client has left; the rest is for a freeze of 0.15 s and
+    // a busy machine.
     private static final long DEPARTURE_HEARD = 500_000;
     // The rules allow 3 s; the rest is for a busy machine.
     private static final long STUCK_ENDED_WITHIN = 4_000_000;
@@ -154,8 +154,8 @@
                 breaches.add("duplicate: a host began " + trace + ", which no client sent");
                 return;
             }
-            // A client can't tell a connection that was closed from one whose gateway was killed while it had the request:
-            // the copy is then the client's own.
+            // A client can't tell a connection that was closed from one whose gateway was killed while it had the
+            // request: the copy is then the client's own.
             if (request.text("before") != null && troubles.stream().anyMatch(trouble -> trouble.kind.equals("kill")
                     && trouble.processes.contains(request.text("before")) && trouble.overlaps(request.start(), request.end()))) {
                 return;
--- a/rig/src/main/java/mastdrift/rig/WatchCheck.java
+++ b/rig/src/main/java/mastdrift/rig/WatchCheck.java
@@ -8,9 +8,9 @@
 import mastdrift.rig.History.Event;
 
 /**
- * Checks the lines that watchers received (events {@code line} with {@code rev}, {@code all} and {@code values} by entry):
- * the revisions of a watcher never decrease, across reconnects too; at one revision all have the same list; and a list has
- * every acknowledged write up to its revision.
+ * Checks the lines that watchers received (events {@code line} with {@code rev}, {@code all} and {@code values} by
+ * entry): the revisions of a watcher never decrease, across reconnects too; at one revision all have the same list; and
+ * a list has every acknowledged write up to its revision.
  */
 final class WatchCheck implements Check {
 
