--- a/rig/src/main/c/syscall_faults.c
+++ b/rig/src/main/c/syscall_faults.c
@@ -8,16 +8,17 @@
  *
  *   call      accept, socket, connect, connect_result, read, write, epoll_add (EPOLL_CTL_ADD), epoll_wait, eventfd_read,
  *             eventfd_write, poll, setsockopt, getsockopt, shutdown, close, open, open_anywhere, fsync, clock
- *   error     the name of an errno value, or SHORT (moves at most `argument` bytes), EOF (end of stream), DELAY (waits
- *             `argument` milliseconds, then calls), STEP (the real-time clock is off by `argument` milliseconds)
+ *   error     the name of an errno value, or SHORT (transfers at most `argument` bytes), EOF (end of stream), DELAY (waits
+ *             `argument` milliseconds, then makes the call), STEP (the real-time clock is off by `argument` milliseconds)
  *   rate      the probability that a matching call is affected
- *   side      client (accepted sockets), upstream (connected sockets), any (either), or log (standard output and error)
- *   argument  a whole number, 0 where the error has none
+ *   side      client (accepted sockets), upstream (connected sockets), any (all descriptors but the log), or log (standard
+ *             output and error)
+ *   argument  an integer, 0 if the error has none
  *
- * open fails only for files below the folder named by SYSCALL_FOLDER: the virtual machine's own files are not the program's.
- * open_anywhere fails for all files, as where no descriptor is left.
+ * open fails only for files in the folder named by SYSCALL_FOLDER, so that the virtual machine's own files are not affected.
+ * open_anywhere fails for all files, as when no descriptor is left.
  *
- * The writer changes the generation last, so that a rule is never read while it is being written. Each injected fault is
+ * The writer changes the first line last, so that a rule is never read while it is being written. Each injected fault is
  * appended to the file named by SYSCALL_LOG: CLOCK_MONOTONIC in microseconds, call, error, descriptor.
  */
 #define _GNU_SOURCE
@@ -44,20 +45,20 @@
 #include <poll.h>
 
 #define CONTROL_BYTES 4096
-#define RULES_MOST 32
-#define DESCRIPTORS_MOST 65536
+#define MAX_RULES 32
+#define MAX_DESCRIPTORS 65536
 
 enum call { ACCEPT, SOCKET, CONNECT, CONNECT_RESULT, READ, WRITE, EPOLL_ADD, EPOLL_WAIT, EVENTFD_READ, EVENTFD_WRITE, POLL, SETSOCKOPT,
-    GETSOCKOPT, SHUTDOWN, CLOSE, OPEN, OPEN_ANYWHERE, FSYNC, CLOCK, CALLS };
-static const char *const CALL_NAMES[CALLS] = { "accept", "socket", "connect", "connect_result", "read", "write",
+    GETSOCKOPT, SHUTDOWN, CLOSE, OPEN, OPEN_ANYWHERE, FSYNC, CLOCK, CALL_COUNT };
+static const char *const CALL_NAMES[CALL_COUNT] = { "accept", "socket", "connect", "connect_result", "read", "write",
     "epoll_add", "epoll_wait", "eventfd_read", "eventfd_write", "poll", "setsockopt", "getsockopt", "shutdown", "close", "open",
     "open_anywhere", "fsync",
     "clock" };
 
 enum side { ANY, CLIENT, UPSTREAM, EVENTFD, LOG };
 
-/* Forms of a fault that are no errno value. */
-enum { FORM_SHORT = -1, FORM_EOF = -2, FORM_DELAY = -3, FORM_STEP = -4 };
+/* Errors that are not errno values. */
+enum { ERROR_SHORT = -1, ERROR_EOF = -2, ERROR_DELAY = -3, ERROR_STEP = -4 };
 
 static const struct { const char *name; int value; } ERRORS[] = {
     { "ECONNABORTED", ECONNABORTED }, { "EMFILE", EMFILE }, { "ENFILE", ENFILE }, { "ENOBUFS", ENOBUFS },
@@ -65,7 +66,7 @@
     { "ENETUNREACH", ENETUNREACH }, { "EHOSTUNREACH", EHOSTUNREACH }, { "ECONNREFUSED", ECONNREFUSED },
     { "ETIMEDOUT", ETIMEDOUT }, { "ECONNRESET", ECONNRESET }, { "EPIPE", EPIPE }, { "EINVAL", EINVAL },
     { "ENOTCONN", ENOTCONN }, { "EIO", EIO }, { "ENOSPC", ENOSPC }, { "ENETDOWN", ENETDOWN }, { "EPERM", EPERM },
-    { "SHORT", FORM_SHORT }, { "EOF", FORM_EOF }, { "DELAY", FORM_DELAY }, { "STEP", FORM_STEP },
+    { "SHORT", ERROR_SHORT }, { "EOF", ERROR_EOF }, { "DELAY", ERROR_DELAY }, { "STEP", ERROR_STEP },
 };
 
 struct rule { int call; int error; double rate; int side; long argument; };
@@ -74,12 +75,12 @@
 static const char *folder;
 static int log_descriptor = -1;
 static char generation[24];
-static struct rule rules[RULES_MOST];
+static struct rule rules[MAX_RULES];
 static int rule_count;
 static pthread_rwlock_t rules_lock = PTHREAD_RWLOCK_INITIALIZER;
-static _Atomic uint64_t draws;
+static _Atomic uint64_t draw_count;
 static uint64_t seed;
-static unsigned char sides[DESCRIPTORS_MOST];
+static unsigned char sides[MAX_DESCRIPTORS];
 
 static int error_value(const char *name)
 {
@@ -103,7 +104,7 @@
 
 static int call_value(const char *name)
 {
-    for (int i = 0; i < CALLS; i++) {
+    for (int i = 0; i < CALL_COUNT; i++) {
         if (strcmp(CALL_NAMES[i], name) == 0) {
             return i;
         }
@@ -111,15 +112,15 @@
     return -1;
 }
 
-/* The control file's first line, up to the end of the line. */
-static void read_generation(char *into, size_t size)
+/* Copies the control file's first line, without its end. */
+static void read_generation(char *buffer, size_t size)
 {
     size_t i = 0;
     while (i + 1 < size && control[i] != '\0' && control[i] != '\n') {
-        into[i] = control[i];
+        buffer[i] = control[i];
         i++;
     }
-    into[i] = '\0';
+    buffer[i] = '\0';
 }
 
 static void parse_rules(void)
@@ -134,7 +135,7 @@
         sscanf(line, "%lu %lu", &number, &seed);
     }
     rule_count = 0;
-    while ((line = strtok_r(NULL, "\n", &rest)) != NULL && rule_count < RULES_MOST) {
+    while ((line = strtok_r(NULL, "\n", &rest)) != NULL && rule_count < MAX_RULES) {
         char call[24], error[24], side[24];
         struct rule rule;
         if (sscanf(line, "%23s %23s %lf %23s %ld", call, error, &rule.rate, side, &rule.argument) != 5) {
@@ -148,22 +149,24 @@
     }
 }
 
-static void refresh(void)
+/* Reads the rules again if the control file's first line has changed. */
+static void reload_rules(void)
 {
-    char seen[sizeof generation];
-    read_generation(seen, sizeof seen);
-    if (strcmp(seen, generation) == 0) {
+    char first_line[sizeof generation];
+    read_generation(first_line, sizeof first_line);
+    if (strcmp(first_line, generation) == 0) {
         return;
     }
     pthread_rwlock_wrlock(&rules_lock);
-    memcpy(generation, seen, sizeof generation);
+    memcpy(generation, first_line, sizeof generation);
     parse_rules();
     pthread_rwlock_unlock(&rules_lock);
 }
 
-static double draw(void)
+/* The next random number in [0, 1), by SplitMix64; any thread may call it. */
+static double next_random(void)
 {
-    uint64_t z = seed + 0x9E3779B97F4A7C15ULL * (atomic_fetch_add(&draws, 1) + 1);
+    uint64_t z = seed + 0x9E3779B97F4A7C15ULL * (atomic_fetch_add(&draw_count, 1) + 1);
     z = (z ^ (z >> 30)) * 0xBF58476D1CE4E5B9ULL;
     z = (z ^ (z >> 27)) * 0x94D049BB133111EBULL;
     return (double) ((z ^ (z >> 31)) >> 11) / (double) (1ULL << 53);
@@ -183,49 +186,49 @@
 
 static int side_of(int descriptor)
 {
-    return descriptor >= 0 && descriptor < DESCRIPTORS_MOST ? sides[descriptor] : ANY;
+    return descriptor >= 0 && descriptor < MAX_DESCRIPTORS ? sides[descriptor] : ANY;
 }
 
-static void remember(int descriptor, int side)
+static void set_side(int descriptor, int side)
 {
-    if (descriptor >= 0 && descriptor < DESCRIPTORS_MOST) {
+    if (descriptor >= 0 && descriptor < MAX_DESCRIPTORS) {
         sides[descriptor] = (unsigned char) side;
     }
 }
 
-/* Whether this call is affected, and by which rule. A DELAY is carried out here, and the call goes on. */
-static int affected(int call, int descriptor, struct rule *found)
+/* Whether a rule makes this call fail, and which. A DELAY is carried out here, and 0 returned, so that the call is made. */
+static int find_rule(int call, int descriptor, struct rule *found)
 {
     if (control == NULL) {
         return 0;
     }
-    int keep = errno;
-    refresh();
-    int hit = 0;
+    int saved_errno = errno;
+    reload_rules();
+    int matched = 0;
     pthread_rwlock_rdlock(&rules_lock);
-    for (int i = 0; i < rule_count && !hit; i++) {
+    for (int i = 0; i < rule_count && !matched; i++) {
         struct rule *rule = &rules[i];
-        int on = side_of(descriptor);
-        int matches = rule->call == call && (rule->side == ANY ? on != LOG : rule->side == on);
-        if (matches && (rule->error == FORM_STEP || draw() < rule->rate)) {
+        int side = side_of(descriptor);
+        int matches = rule->call == call && (rule->side == ANY ? side != LOG : rule->side == side);
+        if (matches && (rule->error == ERROR_STEP || next_random() < rule->rate)) {
             *found = *rule;
-            hit = 1;
+            matched = 1;
         }
     }
     pthread_rwlock_unlock(&rules_lock);
-    if (hit && found->error != FORM_STEP) {
+    if (matched && found->error != ERROR_STEP) {
         log_fault(call, found->error, descriptor);
     }
-    errno = keep;
-    if (hit && found->error == FORM_DELAY) {
+    errno = saved_errno;
+    if (matched && found->error == ERROR_DELAY) {
         struct timespec wait = { found->argument / 1000, found->argument % 1000 * 1000000 };
         syscall(SYS_clock_nanosleep, CLOCK_MONOTONIC, 0, &wait, NULL);
         return 0;
     }
-    return hit;
+    return matched;
 }
 
-/* The function of that name behind this library, looked up once. */
+/* The next definition of the function after this library's, looked up once. */
 #define NEXT(name) (*({ \
     static __typeof__(&name) found; \
     if (found == NULL) { \
@@ -234,7 +237,7 @@
     found; \
 }))
 
-__attribute__((constructor)) static void prepare(void)
+__attribute__((constructor)) static void initialize(void)
 {
     const char *path = getenv("SYSCALL_FAULTS");
     const char *log = getenv("SYSCALL_LOG");
@@ -251,14 +254,14 @@
     if (log != NULL) {
         log_descriptor = (int) syscall(SYS_openat, AT_FDCWD, log, O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0644);
     }
-    remember(STDOUT_FILENO, LOG);
-    remember(STDERR_FILENO, LOG);
+    set_side(STDOUT_FILENO, LOG);
+    set_side(STDERR_FILENO, LOG);
     if (mapped != MAP_FAILED) {
         control = mapped;
     }
 }
 
-static int fail(struct rule *rule)
+static int fail_with(struct rule *rule)
 {
     errno = rule->error;
     return -1;
@@ -267,45 +270,45 @@
 int accept(int descriptor, struct sockaddr *address, socklen_t *length)
 {
     struct rule rule;
-    if (affected(ACCEPT, descriptor, &rule)) {
-        return fail(&rule);
+    if (find_rule(ACCEPT, descriptor, &rule)) {
+        return fail_with(&rule);
     }
     int accepted = NEXT(accept)(descriptor, address, length);
-    remember(accepted, CLIENT);
+    set_side(accepted, CLIENT);
     return accepted;
 }
 
 int accept4(int descriptor, struct sockaddr *address, socklen_t *length, int flags)
 {
     struct rule rule;
-    if (affected(ACCEPT, descriptor, &rule)) {
-        return fail(&rule);
+    if (find_rule(ACCEPT, descriptor, &rule)) {
+        return fail_with(&rule);
     }
     int accepted = NEXT(accept4)(descriptor, address, length, flags);
-    remember(accepted, CLIENT);
+    set_side(accepted, CLIENT);
     return accepted;
 }
 
 int socket(int domain, int type, int protocol)
 {
     struct rule rule;
-    if (affected(SOCKET, -1, &rule)) {
-        return fail(&rule);
+    if (find_rule(SOCKET, -1, &rule)) {
+        return fail_with(&rule);
     }
     int made = NEXT(socket)(domain, type, protocol);
-    remember(made, ANY);
+    set_side(made, ANY);
     return made;
 }
 
 int connect(int descriptor, const struct sockaddr *address, socklen_t length)
 {
     struct rule rule;
-    remember(descriptor, UPSTREAM);
-    if (affected(CONNECT, descriptor, &rule)) {
+    set_side(descriptor, UPSTREAM);
+    if (find_rule(CONNECT, descriptor, &rule)) {
         if (rule.error == EINTR) {
-            NEXT(connect)(descriptor, address, length); /* it goes on in the background */
+            NEXT(connect)(descriptor, address, length); /* an interrupted connect goes on in the background */
         }
-        return fail(&rule);
+        return fail_with(&rule);
     }
     return NEXT(connect)(descriptor, address, length);
 }
@@ -314,12 +317,12 @@
 {
     struct rule rule;
     if (level == SOL_SOCKET && option == SO_ERROR) {
-        if (affected(CONNECT_RESULT, descriptor, &rule)) {
+        if (find_rule(CONNECT_RESULT, descriptor, &rule)) {
             *(int *) value = rule.error;
             return 0;
         }
-    } else if (affected(GETSOCKOPT, descriptor, &rule)) {
-        return fail(&rule);
+    } else if (find_rule(GETSOCKOPT, descriptor, &rule)) {
+        return fail_with(&rule);
     }
     return NEXT(getsockopt)(descriptor, level, option, value, length);
 }
@@ -327,8 +330,8 @@
 int setsockopt(int descriptor, int level, int option, const void *value, socklen_t length)
 {
     struct rule rule;
-    if (affected(SETSOCKOPT, descriptor, &rule)) {
-        return fail(&rule);
+    if (find_rule(SETSOCKOPT, descriptor, &rule)) {
+        return fail_with(&rule);
     }
     return NEXT(setsockopt)(descriptor, level, option, value, length);
 }
@@ -336,46 +339,46 @@
 int shutdown(int descriptor, int how)
 {
     struct rule rule;
-    if (affected(SHUTDOWN, descriptor, &rule)) {
-        return fail(&rule);
+    if (find_rule(SHUTDOWN, descriptor, &rule)) {
+        return fail_with(&rule);
     }
     return NEXT(shutdown)(descriptor, how);
 }
 
-/* The descriptor is gone, as Linux has it, whatever the call says. */
+/* Closes the descriptor even if the call is made to fail, as Linux does. */
 int close(int descriptor)
 {
     struct rule rule;
     int tracked = side_of(descriptor) == CLIENT || side_of(descriptor) == UPSTREAM;
-    int hit = tracked && affected(CLOSE, descriptor, &rule);
-    remember(descriptor, ANY);
+    int matched = tracked && find_rule(CLOSE, descriptor, &rule);
+    set_side(descriptor, ANY);
     int result = NEXT(close)(descriptor);
-    return hit ? fail(&rule) : result;
+    return matched ? fail_with(&rule) : result;
 }
 
 int eventfd(unsigned int initial, int flags)
 {
     int made = NEXT(eventfd)(initial, flags);
-    remember(made, EVENTFD);
+    set_side(made, EVENTFD);
     return made;
 }
 
-static int tracked(int descriptor)
+static int is_tracked(int descriptor)
 {
     return side_of(descriptor) != ANY;
 }
 
-static int reading(int descriptor)
+static int read_call(int descriptor)
 {
     return side_of(descriptor) == EVENTFD ? EVENTFD_READ : READ;
 }
 
-static int writing(int descriptor)
+static int write_call(int descriptor)
 {
     return side_of(descriptor) == EVENTFD ? EVENTFD_WRITE : WRITE;
 }
 
-static size_t shorter(size_t count, struct rule *rule)
+static size_t limited_count(size_t count, struct rule *rule)
 {
     size_t most = rule->argument > 0 ? (size_t) rule->argument : 1;
     return count < most ? count : most;
@@ -384,14 +387,14 @@
 ssize_t read(int descriptor, void *bytes, size_t count)
 {
     struct rule rule;
-    if (tracked(descriptor) && affected(reading(descriptor), descriptor, &rule)) {
-        if (rule.error == FORM_EOF) {
+    if (is_tracked(descriptor) && find_rule(read_call(descriptor), descriptor, &rule)) {
+        if (rule.error == ERROR_EOF) {
             return 0;
         }
-        if (rule.error != FORM_SHORT) {
-            return fail(&rule);
+        if (rule.error != ERROR_SHORT) {
+            return fail_with(&rule);
         }
-        count = shorter(count, &rule);
+        count = limited_count(count, &rule);
     }
     return NEXT(read)(descriptor, bytes, count);
 }
@@ -399,14 +402,14 @@
 ssize_t readv(int descriptor, const struct iovec *vectors, int count)
 {
     struct rule rule;
-    if (tracked(descriptor) && affected(READ, descriptor, &rule)) {
-        if (rule.error == FORM_EOF) {
+    if (is_tracked(descriptor) && find_rule(READ, descriptor, &rule)) {
+        if (rule.error == ERROR_EOF) {
             return 0;
         }
-        if (rule.error != FORM_SHORT) {
-            return fail(&rule);
+        if (rule.error != ERROR_SHORT) {
+            return fail_with(&rule);
         }
-        return NEXT(read)(descriptor, vectors[0].iov_base, shorter(vectors[0].iov_len, &rule));
+        return NEXT(read)(descriptor, vectors[0].iov_base, limited_count(vectors[0].iov_len, &rule));
     }
     return NEXT(readv)(descriptor, vectors, count);
 }
@@ -414,11 +417,11 @@
 ssize_t write(int descriptor, const void *bytes, size_t count)
 {
     struct rule rule;
-    if (tracked(descriptor) && affected(writing(descriptor), descriptor, &rule)) {
-        if (rule.error != FORM_SHORT) {
-            return fail(&rule);
+    if (is_tracked(descriptor) && find_rule(write_call(descriptor), descriptor, &rule)) {
+        if (rule.error != ERROR_SHORT) {
+            return fail_with(&rule);
         }
-        count = shorter(count, &rule);
+        count = limited_count(count, &rule);
     }
     return NEXT(write)(descriptor, bytes, count);
 }
@@ -426,11 +429,11 @@
 ssize_t writev(int descriptor, const struct iovec *vectors, int count)
 {
     struct rule rule;
-    if (tracked(descriptor) && affected(WRITE, descriptor, &rule)) {
-        if (rule.error != FORM_SHORT) {
-            return fail(&rule);
+    if (is_tracked(descriptor) && find_rule(WRITE, descriptor, &rule)) {
+        if (rule.error != ERROR_SHORT) {
+            return fail_with(&rule);
         }
-        return NEXT(write)(descriptor, vectors[0].iov_base, shorter(vectors[0].iov_len, &rule));
+        return NEXT(write)(descriptor, vectors[0].iov_base, limited_count(vectors[0].iov_len, &rule));
     }
     return NEXT(writev)(descriptor, vectors, count);
 }
@@ -438,8 +441,8 @@
 int epoll_ctl(int descriptor, int operation, int other, struct epoll_event *event)
 {
     struct rule rule;
-    if (operation == EPOLL_CTL_ADD && affected(EPOLL_ADD, other, &rule)) {
-        return fail(&rule);
+    if (operation == EPOLL_CTL_ADD && find_rule(EPOLL_ADD, other, &rule)) {
+        return fail_with(&rule);
     }
     return NEXT(epoll_ctl)(descriptor, operation, other, event);
 }
@@ -447,8 +450,8 @@
 int epoll_wait(int descriptor, struct epoll_event *events, int most, int timeout)
 {
     struct rule rule;
-    if (affected(EPOLL_WAIT, descriptor, &rule)) {
-        return fail(&rule);
+    if (find_rule(EPOLL_WAIT, descriptor, &rule)) {
+        return fail_with(&rule);
     }
     return NEXT(epoll_wait)(descriptor, events, most, timeout);
 }
@@ -456,8 +459,8 @@
 int poll(struct pollfd *descriptors, nfds_t count, int timeout)
 {
     struct rule rule;
-    if (affected(POLL, -1, &rule)) {
-        return fail(&rule);
+    if (find_rule(POLL, -1, &rule)) {
+        return fail_with(&rule);
     }
     return NEXT(poll)(descriptors, count, timeout);
 }
@@ -465,20 +468,20 @@
 int fsync(int descriptor)
 {
     struct rule rule;
-    if (affected(FSYNC, descriptor, &rule)) {
-        return fail(&rule);
+    if (find_rule(FSYNC, descriptor, &rule)) {
+        return fail_with(&rule);
     }
     return NEXT(fsync)(descriptor);
 }
 
-static int below_folder(const char *path)
+static int is_in_folder(const char *path)
 {
     return folder != NULL && strncmp(path, folder, strlen(folder)) == 0;
 }
 
 static int open_fails(const char *path, struct rule *rule)
 {
-    return (below_folder(path) && affected(OPEN, -1, rule)) || affected(OPEN_ANYWHERE, -1, rule);
+    return (is_in_folder(path) && find_rule(OPEN, -1, rule)) || find_rule(OPEN_ANYWHERE, -1, rule);
 }
 
 int open(const char *path, int flags, ...)
@@ -489,7 +492,7 @@
     mode_t mode = va_arg(arguments, mode_t);
     va_end(arguments);
     if (open_fails(path, &rule)) {
-        return fail(&rule);
+        return fail_with(&rule);
     }
     return (int) syscall(SYS_openat, AT_FDCWD, path, flags, mode);
 }
@@ -502,22 +505,22 @@
     mode_t mode = va_arg(arguments, mode_t);
     va_end(arguments);
     if (open_fails(path, &rule)) {
-        return fail(&rule);
+        return fail_with(&rule);
     }
     return (int) syscall(SYS_openat, AT_FDCWD, path, flags | O_LARGEFILE, mode);
 }
 
-static long step_millis(void)
+static long clock_step_millis(void)
 {
     struct rule rule;
-    return affected(CLOCK, -1, &rule) && rule.error == FORM_STEP ? rule.argument : 0;
+    return find_rule(CLOCK, -1, &rule) && rule.error == ERROR_STEP ? rule.argument : 0;
 }
 
 int clock_gettime(clockid_t clock, struct timespec *now)
 {
     int result = (int) syscall(SYS_clock_gettime, clock, now);
     if (result == 0 && clock == CLOCK_REALTIME) {
-        long step = step_millis();
+        long step = clock_step_millis();
         now->tv_sec += step / 1000;
         now->tv_nsec += step % 1000 * 1000000;
         if (now->tv_nsec < 0) {
