--- a/rig/src/main/java/mastdrift/rig/AcknowledgedCheck.java
+++ b/rig/src/main/java/mastdrift/rig/AcknowledgedCheck.java
@@ -13,18 +13,18 @@
 final class AcknowledgedCheck implements Check {
 
     @Override
-    public Verdict look(History history) {
+    public Verdict evaluate(History history) {
         List<String> breaches = new ArrayList<>();
         Map<String, Event> newest = new HashMap<>();
-        Map<String, Set<String>> unheard = new HashMap<>();
+        Map<String, Set<String>> unknownWrites = new HashMap<>();
         Map<Long, Event> byRevision = new HashMap<>();
         for (Event event : history.events()) {
             if (!event.op().equals("put") && !event.op().equals("cas")) {
                 continue;
             }
             String key = event.text("key");
-            if (!event.known()) {
-                unheard.computeIfAbsent(key, k -> new HashSet<>()).add(event.text("value"));
+            if (!event.isKnown()) {
+                unknownWrites.computeIfAbsent(key, k -> new HashSet<>()).add(event.text("value"));
             } else if (Boolean.TRUE.equals(event.facts().get("ok"))) {
                 Event other = byRevision.put(event.number("rev", 0), event);
                 if (other != null) {
@@ -34,14 +34,14 @@
                 newest.merge(key, event, (a, b) -> a.number("rev", 0) > b.number("rev", 0) ? a : b);
             }
         }
-        Map<String, Event> last = new HashMap<>();
-        history.events("final").forEach(event -> last.put(event.text("key"), event));
+        Map<String, Event> finalReads = new HashMap<>();
+        history.events("final").forEach(event -> finalReads.put(event.text("key"), event));
         newest.forEach((key, write) -> {
-            Event read = last.get(key);
-            if (last.isEmpty()) {
+            Event read = finalReads.get(key);
+            if (finalReads.isEmpty()) {
                 breaches.add("there is no last read");
             } else if (read == null || !write.text("value").equals(read.text("value"))
-                    && !unheard.getOrDefault(key, Set.of()).contains(read.text("value"))) {
+                    && !unknownWrites.getOrDefault(key, Set.of()).contains(read.text("value"))) {
                 breaches.add("acknowledged write " + write.text("value") + " of " + key + ", revision " + write.number("rev", 0)
                         + ", is lost: there is " + (read == null ? "nothing" : read.text("value")));
             }
--- a/rig/src/main/java/mastdrift/rig/Addresses.java
+++ b/rig/src/main/java/mastdrift/rig/Addresses.java
@@ -11,43 +11,43 @@
 final class Addresses {
 
     /** The highest number of processes in a run. */
-    static final int MOST = 200;
+    static final int MAX_PROCESSES = 200;
     private static final int FIRST_LINK_NET = 30;
-    private static final int LEAST_PORT = 10_240;
-    private static final int PORTS = 20_000;
+    private static final int MIN_PORT = 10_240;
+    private static final int PORT_COUNT = 20_000;
 
-    private final int lane;
+    private final int slot;
 
-    /** {@code lane} is the slot of addresses; parallel runs use different slots. */
-    Addresses(int lane) {
-        this.lane = lane;
+    /** Parallel runs use different slots of addresses. */
+    Addresses(int slot) {
+        this.slot = slot;
     }
 
     /** The address on which the process with that number listens. */
-    String own(int index) {
-        return "127.21." + lane + "." + (within(index) + 1);
+    String processAddress(int index) {
+        return "127.21." + slot + "." + (checkIndex(index) + 1);
     }
 
     /** The address at which process {@code from} reaches process {@code to}. */
-    String link(int from, int to) {
-        return "127." + (FIRST_LINK_NET + within(from)) + "." + within(to) + "." + (lane + 1);
+    String linkAddress(int from, int to) {
+        return "127." + (FIRST_LINK_NET + checkIndex(from)) + "." + checkIndex(to) + "." + (slot + 1);
     }
 
-    private static int within(int index) {
-        if (index < 0 || index >= MOST) {
-            throw new IllegalArgumentException("at most " + MOST + " processes in one rig");
+    private static int checkIndex(int index) {
+        if (index < 0 || index >= MAX_PROCESSES) {
+            throw new IllegalArgumentException("at most " + MAX_PROCESSES + " processes in one rig");
         }
         return index;
     }
 
     /** A port that is free at the address, below the ephemeral range: a port of that range could be taken by a
         connection before the process starts. */
-    static int port(String address) {
+    static int freePort(String address) {
         IOException last = null;
         for (int tries = 0; tries < 100; tries++) {
-            int port = LEAST_PORT + ThreadLocalRandom.current().nextInt(PORTS);
+            int port = MIN_PORT + ThreadLocalRandom.current().nextInt(PORT_COUNT);
             try {
-                synchronized (Program.FORKING) {
+                synchronized (ManagedProcess.FORK_LOCK) {
                     new ServerSocket(port, 1, InetAddress.getByName(address)).close();
                 }
                 return port;
--- a/rig/src/main/java/mastdrift/rig/BadClients.java
+++ b/rig/src/main/java/mastdrift/rig/BadClients.java
@@ -22,15 +22,15 @@
     Confined to the load's event loop. */
 final class BadClients {
 
-    private static final String HALF_A_REQUEST = "POST /api HTTP/1.1\r\nHost: service.internal\r\nContent-Le";
-    private static final int BACK_AFTER_MILLIS = 1000;
+    private static final String PARTIAL_REQUEST = "POST /api HTTP/1.1\r\nHost: service.internal\r\nContent-Le";
+    private static final int RECONNECT_MILLIS = 1000;
     // More than half of the descriptors that the rig allows a gateway; that half is for clients.
-    private static final int CROWD_A_GATEWAY = 600;
+    private static final int EXHAUSTING_CONNECTIONS_PER_GATEWAY = 600;
 
     private final EventLoop loop;
-    private final int idle;
-    private final boolean crowd;
-    private final int stuck;
+    private final int idleCount;
+    private final boolean exhaustsDescriptors;
+    private final int stalledCount;
     private final History history;
     private final Set<Channel> open = new HashSet<>();
     private boolean closed;
@@ -39,29 +39,29 @@
         this.loop = loop;
         this.history = history;
         Dice dice = new Dice(seed, "bad-clients");
-        idle = (int) Math.round(dice.in(plan.idle()));
-        stuck = (int) Math.round(dice.in(plan.stuck()));
-        crowd = dice.unit() < plan.crowd();
+        idleCount = (int) Math.round(dice.in(plan.idleConnections()));
+        stalledCount = (int) Math.round(dice.in(plan.stalledClients()));
+        exhaustsDescriptors = dice.unit() < plan.exhaustionChance();
     }
 
     /** Whether idle connections use up all client descriptors of all gateways. */
-    boolean crowd() {
-        return crowd;
+    boolean exhaustsDescriptors() {
+        return exhaustsDescriptors;
     }
 
     /** Connects all of them, spread evenly over the gateways. */
     void start(Map<String, InetSocketAddress> gateways) {
         List<String> names = List.copyOf(gateways.keySet());
         loop.execute(() -> {
-            int resting = idle + (crowd ? CROWD_A_GATEWAY * names.size() : 0);
-            for (int i = 0; i < resting + stuck; i++) {
+            int idleTotal = idleCount + (exhaustsDescriptors ? EXHAUSTING_CONNECTIONS_PER_GATEWAY * names.size() : 0);
+            for (int i = 0; i < idleTotal + stalledCount; i++) {
                 String name = names.get(i % names.size());
-                come(name, gateways.get(name), i < resting ? "" : HALF_A_REQUEST);
+                connect(name, gateways.get(name), i < idleTotal ? "" : PARTIAL_REQUEST);
             }
         });
     }
 
-    private void come(String gateway, InetSocketAddress at, String text) {
+    private void connect(String gateway, InetSocketAddress at, String text) {
         if (closed) {
             return;
         }
@@ -96,7 +96,7 @@
         open.add(channel);
         channel.closeFuture().addListener(ended -> {
             open.remove(channel);
-            loop.schedule(() -> come(gateway, at, text), BACK_AFTER_MILLIS, TimeUnit.MILLISECONDS);
+            loop.schedule(() -> connect(gateway, at, text), RECONNECT_MILLIS, TimeUnit.MILLISECONDS);
         });
     }
 
--- a/rig/src/main/java/mastdrift/rig/Variants.java
+++ b/rig/src/main/java/mastdrift/rig/BrokenVariants.java
@@ -2,9 +2,9 @@
 
 import java.util.List;
 
-/** Variants of the program that are broken on purpose, to test the checkers: a plan run with one has to end as broken.
-    */
-final class Variants {
+/** Variants of the program that are broken on purpose, to test the checkers: a plan run with one has to end as
+    broken. */
+final class BrokenVariants {
 
     static final String NONE = "none";
     /** Gateways that repeat keyed requests in any zone, though a key is deduplicated only within a zone. */
@@ -18,21 +18,23 @@
     /** A watch that skips changes when it resumes. */
     static final String WATCH_SKIPS = "watch-skips-on-resume";
     /** Members that suspect a peer after a fixed timeout. */
-    static final String FIXED_TIME_OUT = "fixed-time-out";
+    static final String FIXED_TIMEOUT = "fixed-time-out";
     /** Members that were removed and rejoin with the same incarnation. */
     static final String INCARNATION_KEPT = "incarnation-kept";
     /** A list service that removes a member after a single report. */
     static final String ONE_REMOVES = "one-removes";
-    static final List<String> ALL = List.of(REPEATS_ANYWHERE, DRAINS_UNHEEDED, REVISION_REUSED, LEASE_BY_OWN_CLOCK, WATCH_SKIPS,
-            FIXED_TIME_OUT, INCARNATION_KEPT, ONE_REMOVES);
-    private static final List<String> OF_REPLICAS = List.of(REVISION_REUSED, LEASE_BY_OWN_CLOCK, WATCH_SKIPS, ONE_REMOVES);
-    private static final List<String> OF_MEMBERS = List.of(FIXED_TIME_OUT, INCARNATION_KEPT);
+    static final List<String> ALL = List.of(REPEATS_ANYWHERE, DRAINS_UNHEEDED, REVISION_REUSED, LEASE_BY_OWN_CLOCK,
+            WATCH_SKIPS, FIXED_TIMEOUT, INCARNATION_KEPT, ONE_REMOVES);
+    private static final List<String> OF_REPLICAS =
+            List.of(REVISION_REUSED, LEASE_BY_OWN_CLOCK, WATCH_SKIPS, ONE_REMOVES);
+    private static final List<String> OF_MEMBERS = List.of(FIXED_TIMEOUT, INCARNATION_KEPT);
 
     /** The variant that a process of that kind runs: the given one if it concerns that kind, else none. */
-    static String of(String kind, String variant) {
-        boolean its = kind.equals("registry") && OF_REPLICAS.contains(variant) || kind.equals("member") && OF_MEMBERS.contains(variant);
-        return its ? variant : NONE;
+    static String forProcess(String kind, String variant) {
+        boolean applies = kind.equals("registry") && OF_REPLICAS.contains(variant) || kind.equals("member")
+                && OF_MEMBERS.contains(variant);
+        return applies ? variant : NONE;
     }
 
-    private Variants() { }
+    private BrokenVariants() { }
 }
--- a/rig/src/main/java/mastdrift/rig/Check.java
+++ b/rig/src/main/java/mastdrift/rig/Check.java
@@ -23,5 +23,5 @@
         }
     }
 
-    Verdict look(History history);
+    Verdict evaluate(History history);
 }
--- a/rig/src/main/java/mastdrift/rig/Checks.java
+++ b/rig/src/main/java/mastdrift/rig/Checks.java
@@ -21,7 +21,7 @@
 
     private Checks() { }
 
-    static List<Check.Verdict> look(List<String> names, History history) {
-        return names.stream().map(name -> ALL.get(name).get().look(history)).toList();
+    static List<Check.Verdict> evaluate(List<String> names, History history) {
+        return names.stream().map(name -> ALL.get(name).get().evaluate(history)).toList();
     }
 }
--- a/rig/src/main/java/mastdrift/rig/Lists.java
+++ b/rig/src/main/java/mastdrift/rig/DiscoveryServer.java
@@ -14,38 +14,38 @@
 
 /** A replacement for the platform's discovery service (PROTOCOL, "Discovery"). It has one address for each gateway, and
     lists hosts there with the addresses of that gateway's links. Confined to its event loop. */
-final class Lists implements AutoCloseable {
+final class DiscoveryServer implements AutoCloseable {
 
-    private static final int ALIVE_SECONDS = 2;
+    private static final int KEEP_ALIVE_SECONDS = 2;
 
     /** A host in the list, without its address, which differs between gateways. */
     record Entry(String uid, String zone, String state, long bootMs, long rev) { }
 
     /** Gives the address and port at which a gateway reaches a host. */
-    interface Reach {
+    interface EndpointResolver {
         String endpoint(String gateway, String host);
     }
 
     private record Watcher(String gateway, HttpServer.LineStream lines) { }
 
     private final EventLoop loop;
-    private final Reach reach;
-    private final boolean hides;
+    private final EndpointResolver resolver;
+    private final boolean hidesDrains;
     private final History history;
     private final Map<String, Entry> entries = new TreeMap<>();
     private final List<Watcher> watchers = new ArrayList<>();
     private final List<HttpServer> servers = new ArrayList<>();
     private long rev;
 
-    /** With {@code hides} gateways are not told of drains, though the history records them as told: a broken variant.
-        */
-    Lists(EventLoop loop, Reach reach, boolean hides, History history) {
-        this.hides = hides;
+    /** With {@code hidesDrains} gateways are not told of drains, though the history records them as told: a broken
+        variant. */
+    DiscoveryServer(EventLoop loop, EndpointResolver resolver, boolean hidesDrains, History history) {
+        this.hidesDrains = hidesDrains;
         this.loop = loop;
-        this.reach = reach;
+        this.resolver = resolver;
         this.history = history;
-        loop.scheduleWithFixedDelay(() -> watchers.forEach(watcher -> watcher.lines.writeLine("")), ALIVE_SECONDS, ALIVE_SECONDS,
-                TimeUnit.SECONDS);
+        loop.scheduleWithFixedDelay(() -> watchers.forEach(watcher -> watcher.lines.writeLine("")), KEEP_ALIVE_SECONDS,
+                KEEP_ALIVE_SECONDS, TimeUnit.SECONDS);
     }
 
     /** Listens at that address for the gateway. */
@@ -54,7 +54,7 @@
     }
 
     /** Changes an entry and sends it to all watches. */
-    void put(String uid, String zone, String state, long bootMs) {
+    void update(String uid, String zone, String state, long bootMs) {
         loop.submit(() -> {
             rev++;
             Entry entry = new Entry(uid, zone, state, bootMs, rev);
@@ -62,17 +62,17 @@
             long now = History.now();
             history.add(now, now, "discovery", "listed", Map.of("host", uid, "state", state, "rev", rev));
             for (Watcher watcher : watchers) {
-                watcher.lines.writeLine(list(watcher.gateway, rev, false, List.of(entry)));
+                watcher.lines.writeLine(toJson(watcher.gateway, rev, false, List.of(entry)));
             }
         }).syncUninterruptibly();
     }
 
     /** The full list with the gateway's own addresses. */
-    Map<String, Object> whole(String gateway) {
-        return loop.submit(() -> object(gateway, rev, true, present())).syncUninterruptibly().getNow();
+    Map<String, Object> fullList(String gateway) {
+        return loop.submit(() -> toMap(gateway, rev, true, currentEntries())).syncUninterruptibly().getNow();
     }
 
-    private List<Entry> present() {
+    private List<Entry> currentEntries() {
         return entries.values().stream().filter(entry -> !entry.state.equals("terminated")).toList();
     }
 
@@ -80,12 +80,12 @@
         if (!call.path().equals("/v1/endpoints")) {
             call.respond(404, "text/plain", "not known here\n");
         } else if (!"1".equals(call.queryParameter("watch"))) {
-            call.respondJson(200, list(gateway, rev, true, present()));
+            call.respondJson(200, toJson(gateway, rev, true, currentEntries()));
         } else {
             long from = call.queryLong("from", 0);
             HttpServer.LineStream lines = call.startLineStream();
-            boolean whole = from == 0 || from > rev;
-            lines.writeLine(list(gateway, rev, whole, whole ? present()
+            boolean full = from == 0 || from > rev;
+            lines.writeLine(toJson(gateway, rev, full, full ? currentEntries()
                     : entries.values().stream().filter(entry -> entry.rev > from).toList()));
             Watcher watcher = new Watcher(gateway, lines);
             watchers.add(watcher);
@@ -93,16 +93,17 @@
         }
     }
 
-    private String list(String gateway, long at, boolean all, List<Entry> of) {
-        return Json.encode(object(gateway, at, all, of));
+    private String toJson(String gateway, long revision, boolean all, List<Entry> listed) {
+        return Json.encode(toMap(gateway, revision, all, listed));
     }
 
-    private Map<String, Object> object(String gateway, long at, boolean all, List<Entry> of) {
+    private Map<String, Object> toMap(String gateway, long revision, boolean all, List<Entry> listed) {
         Map<String, Object> list = new LinkedHashMap<>();
-        list.put("rev", at);
+        list.put("rev", revision);
         list.put("all", all);
-        list.put("targets", of.stream().map(entry -> target(entry.uid, reach.endpoint(gateway, entry.uid), entry.zone,
-                hides && entry.state.equals("terminating") ? "in_service" : entry.state, entry.bootMs)).toList());
+        list.put("targets", listed.stream().map(entry -> target(entry.uid, resolver.endpoint(gateway, entry.uid),
+                entry.zone,
+                hidesDrains && entry.state.equals("terminating") ? "in_service" : entry.state, entry.bootMs)).toList());
         return list;
     }
 
--- a/rig/src/main/java/mastdrift/rig/Fault.java
+++ b/rig/src/main/java/mastdrift/rig/Fault.java
@@ -8,34 +8,35 @@
  * One fault as drawn by a seed. Times are milliseconds from the start of the load.
  *
  * @param id its index in the schedule, from 0
- * @param at when it starts; with {@code when}, how long after the log line was seen
- * @param span how long it lasts, 0 for one without an end
+ * @param startMillis when it starts; with {@code triggerPattern}, how long after the log line was seen
+ * @param durationMillis how long it lasts, 0 for one without an end
  * @param processes the affected processes; of a link fault, those that open the connections
- * @param others the processes that a link fault's connections lead to; empty for other faults
- * @param size milliseconds, bytes or bytes per second, depending on the kind
- * @param spread the fraction by which a delay varies
- * @param back the data folder with which a killed process is started again
- * @param when a regular expression that a log line of some process has to match first; null for none
- * @param heal the share of links that heal at its end; the others heal when all faults end
+ * @param targets the processes that a link fault's connections lead to; empty for other faults
+ * @param magnitude milliseconds, bytes or bytes per second, depending on the kind
+ * @param jitter the fraction by which a delay varies
+ * @param restartState the data folder with which a killed process is started again
+ * @param triggerPattern a regular expression that a log line of some process has to match first; null for none
+ * @param healShare the share of links that heal at its end; the others heal when all faults end
  * @param systemCall the failing call, null for other kinds
  */
-record Fault(int id, Kind kind, long at, long span, List<String> processes, List<String> others, Link.Way way, double size,
-        double spread, Back back, String when, double heal, SystemCall systemCall) {
+record Fault(int id, Kind kind, long startMillis, long durationMillis,
+        List<String> processes, List<String> targets, Link.Way direction, double magnitude,
+        double jitter, Back restartState, String triggerPattern, double healShare, SystemCall systemCall) {
 
-    /** The kind of a fault; {@code link} is true if it affects links, false if it affects processes. */
+    /** The kind of a fault, which affects either links or processes. */
     enum Kind {
         /** No bytes pass in one or both directions, and no new connection is established; open connections go on after
             it. */
         CUT(true),
         /** Connections are accepted, but nothing passes. */
         SILENT(true),
-        /** All bytes are delayed by size milliseconds, varied by the spread. */
+        /** All bytes are delayed by so many milliseconds as the magnitude, varied by the jitter. */
         DELAY(true),
-        /** At most size bytes pass per second. */
+        /** At most so many bytes pass per second as the magnitude. */
         TRICKLE(true),
-        /** After size more bytes nothing passes on a connection. */
+        /** After so many more bytes as the magnitude, nothing passes on a connection. */
         STALL(true),
-        /** After size more bytes a connection is reset. */
+        /** After so many more bytes as the magnitude, a connection is reset. */
         RESET(true),
         /** New connections are refused, and those that are open are reset. */
         REFUSE(true),
@@ -44,21 +45,21 @@
         STOP(false),
         /** SIGHUP. */
         HANG_UP(false),
-        /** A host is drained, and after the span replaced by a cold one. */
+        /** A host is drained, and at the end of the fault replaced by a cold one. */
         REPLACE(false),
         /** The process's writes to files fail as on a full disk. */
         DISK_FULL(false),
-        /** The process's Unix time is off by size milliseconds for the span. */
+        /** The process's Unix time is off by so many milliseconds as the magnitude. */
         CLOCK_JUMP(false),
-        /** The process's monotonic clock runs at size times its speed for the span. */
+        /** The process's monotonic clock runs at so many times its speed as the magnitude. */
         CLOCK_RATE(false),
-        /** System calls of the process fail; the size is the error's argument. */
+        /** System calls of the process fail; the magnitude is the error's argument. */
         SYSTEM_CALL(false);
 
-        final boolean link;
+        final boolean affectsLinks;
 
-        Kind(boolean link) {
-            this.link = link;
+        Kind(boolean affectsLinks) {
+            this.affectsLinks = affectsLinks;
         }
     }
 
@@ -67,9 +68,9 @@
     enum Back { KEEP, EMPTY, OLDER, NEVER }
 
     /** The same fault for the given process, in place of the leader's placeholder; for no process if it is null. */
-    Fault of(String process) {
-        return new Fault(id, kind, at, span, process == null ? List.of() : List.of(process), others, way, size, spread, back,
-                when, heal, systemCall);
+    Fault withProcess(String process) {
+        return new Fault(id, kind, startMillis, durationMillis, process == null ? List.of() : List.of(process), targets,
+                direction, magnitude, jitter, restartState, triggerPattern, healShare, systemCall);
     }
 
     /** The fields for the history. */
@@ -78,15 +79,15 @@
         facts.put("id", id);
         facts.put("kind", kind.name().toLowerCase(java.util.Locale.ROOT));
         facts.put("processes", processes);
-        if (kind.link) {
-            facts.put("others", others);
-            facts.put("way", way.name().toLowerCase(java.util.Locale.ROOT));
+        if (kind.affectsLinks) {
+            facts.put("others", targets);
+            facts.put("way", direction.name().toLowerCase(java.util.Locale.ROOT));
         }
-        if (size != 0) {
-            facts.put("size", size);
+        if (magnitude != 0) {
+            facts.put("size", magnitude);
         }
         if (systemCall != null) {
-            facts.put("system_call", systemCall.rule(Math.round(size)));
+            facts.put("system_call", systemCall.toRuleLine(Math.round(magnitude)));
             facts.put("call", systemCall.call().name().toLowerCase(java.util.Locale.ROOT));
             facts.put("rate", systemCall.rate());
         }
--- a/rig/src/main/java/mastdrift/rig/History.java
+++ b/rig/src/main/java/mastdrift/rig/History.java
@@ -25,8 +25,8 @@
     /**
      * One call, fault or observation.
      *
-     * @param start microseconds
-     * @param end likewise; {@link #NEVER} where the outcome is not known
+     * @param start in microseconds
+     * @param end in microseconds; {@link #NEVER} if the outcome is unknown
      * @param by the process or client that made it
      * @param op the operation or kind of event
      * @param facts all other fields
@@ -38,18 +38,18 @@
             return value == null ? null : value.toString();
         }
 
-        long number(String name, long otherwise) {
-            return facts.get(name) instanceof Number number ? number.longValue() : otherwise;
+        long number(String name, long defaultValue) {
+            return facts.get(name) instanceof Number number ? number.longValue() : defaultValue;
         }
 
-        boolean known() {
+        boolean isKnown() {
             return end != NEVER;
         }
 
-        String line() {
+        String toJsonLine() {
             Map<String, Object> all = new LinkedHashMap<>();
             all.put("start", start);
-            all.put("end", known() ? end : null);
+            all.put("end", isKnown() ? end : null);
             all.put("by", by);
             all.put("op", op);
             all.putAll(facts);
@@ -104,7 +104,7 @@
     void write(Path file) throws IOException {
         try (BufferedWriter to = Files.newBufferedWriter(file, StandardCharsets.UTF_8)) {
             for (Event event : events()) {
-                to.write(event.line());
+                to.write(event.toJsonLine());
                 to.write('\n');
             }
         }
--- a/rig/src/main/java/mastdrift/rig/HolderCheck.java
+++ b/rig/src/main/java/mastdrift/rig/HolderCheck.java
@@ -7,12 +7,12 @@
 import mastdrift.rig.History.Event;
 
 /** Checks leases: one holder at a time, and fencing tokens that never decrease. Events {@code granted} (from the log)
-    and {@code effect} (as accepted by the target) have {@code lease} and {@code token}; an effect may have a {@code
-    step}, which must take place only once. */
+    and {@code effect} (as accepted by the target) have {@code lease} and {@code token}; an effect may have a
+    {@code step}, which must take place only once. */
 final class HolderCheck implements Check {
 
     @Override
-    public Verdict look(History history) {
+    public Verdict evaluate(History history) {
         List<String> breaches = new ArrayList<>();
         Map<String, String> holders = new HashMap<>();
         Map<String, Event> newest = new HashMap<>();
@@ -34,9 +34,10 @@
                     newest.put(lease, event);
                 }
                 String step = event.text("step");
-                Event twin = step == null ? null : steps.put(lease + "#" + step, event);
-                if (twin != null) {
-                    breaches.add("step " + step + " of " + lease + " took place with " + twin.by() + " and with " + event.by());
+                Event earlier = step == null ? null : steps.put(lease + "#" + step, event);
+                if (earlier != null) {
+                    breaches.add("step " + step + " of " + lease + " took place with " + earlier.by() + " and with "
+                            + event.by());
                 }
             }
         }
--- a/rig/src/main/java/mastdrift/rig/Hooked.java
+++ b/rig/src/main/java/mastdrift/rig/InstrumentedProcess.java
@@ -25,11 +25,11 @@
 
 /** Main class of an instrumented process: a replica, agent, member or duty candidate with a clock and a disk into which
     the rig injects faults through a hooks file while it runs; and, if asked, in a variant that is broken on purpose. */
-public final class Hooked {
+public final class InstrumentedProcess {
 
-    private static final int WATCHES_MOST = 2000;
+    private static final int MAX_WATCHES = 2000;
 
-    private Hooked() { }
+    private InstrumentedProcess() { }
 
     /** Arguments: hooks file, variant or {@code none}, then {@code registry name folder listen raft name=peer...} or
         {@code agent folder listen replica...} or {@code member name zone folder listen address replica...} or
@@ -37,14 +37,15 @@
     public static void main(String[] args) throws Exception {
         mastdrift.registry.Main.logToOutput();
         mastdrift.registry.Main.endOnFaults();
-        Hooks hooks = new Hooks(Path.of(args[0]));
+        FaultHooks hooks = new FaultHooks(Path.of(args[0]));
         List<String> rest = Arrays.asList(args).subList(3, args.length);
         if (args[2].equals("registry")) {
             Map<String, Peers.Address> peers = new LinkedHashMap<>();
             rest.subList(4, rest.size()).forEach(peer -> peers.put(peer.split("=")[0],
                     Peers.Address.of(peer.split("=")[1])));
             Replica replica = new Replica(new Replica.Setup(rest.get(0), Path.of(rest.get(1)), HttpServer.parseAddress(rest.get(2)),
-                    HttpServer.parseAddress(rest.get(3)), peers, WATCHES_MOST), hooks, variant(args[1], hooks), hooks.disk());
+                    HttpServer.parseAddress(rest.get(3)), peers, MAX_WATCHES), hooks, brokenCatalogue(args[1], hooks),
+                    hooks.disk());
             Runtime.getRuntime().addShutdownHook(new Thread(() -> {
                 try {
                     replica.close();
@@ -58,13 +59,15 @@
             Agent agent = new Agent(new Agent.Setup(Path.of(rest.get(2)), HttpServer.parseAddress(rest.get(3)),
                     replicas.stream().map(HttpServer::parseAddress).toList(), null), hooks, hooks.disk());
             Membership membership = new Membership(new Membership.Setup(rest.get(0), "agent", rest.get(1), rest.get(4)
-                    + "/v1/agent"), replicas, hooks, detector(args[1], rest.get(0)), !args[1].equals(Variants.INCARNATION_KEPT));
+                    + "/v1/agent"), replicas, hooks, detector(args[1], rest.get(0)),
+                    !args[1].equals(BrokenVariants.INCARNATION_KEPT));
             Runtime.getRuntime().addShutdownHook(new Thread(() -> {
                 membership.close();
                 agent.close();
             }));
         } else if (args[2].equals("duty")) {
-            DutyCommands.run("roll", rest.get(0), Long.parseLong(rest.get(1)), rest.subList(2, rest.size()), hooks, end());
+            DutyCommands.run("roll", rest.get(0), Long.parseLong(rest.get(1)), rest.subList(2, rest.size()), hooks,
+                    terminationLatch());
         } else {
             Agent agent = new Agent(new Agent.Setup(Path.of(rest.get(0)), HttpServer.parseAddress(rest.get(1)),
                     rest.subList(2, rest.size()).stream().map(HttpServer::parseAddress).toList(), null), hooks, hooks.disk());
@@ -74,54 +77,54 @@
     }
 
     /** A latch that opens at SIGTERM; the process exits 1 s later, so that the duty can be released. */
-    private static CountDownLatch end() {
-        CountDownLatch end = new CountDownLatch(1);
+    private static CountDownLatch terminationLatch() {
+        CountDownLatch latch = new CountDownLatch(1);
         Runtime.getRuntime().addShutdownHook(new Thread(() -> {
-            end.countDown();
+            latch.countDown();
             try {
                 Thread.sleep(1000);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
         }));
-        return end;
+        return latch;
     }
 
     /** The injected faults of this process's clock and disk. The file has lines {@code disk full}, {@code jump MILLIS}
         or {@code rate R}; it is read again, at most every 20 ms, when the clock or the disk is used. */
-    private static final class Hooks implements Clock {
+    private static final class FaultHooks implements Clock {
 
-        private static final long LOOK_NANOS = 20_000_000;
+        private static final long RELOAD_INTERVAL_NANOS = 20_000_000;
 
         private final Path file;
-        private long lookedAt;
+        private long reloadedAt;
         private double rate = 1;
-        private long jump;
-        private boolean full;
-        private long real = System.nanoTime();  // real time of the last update
-        private double shown = real;  // faulty time at that moment
+        private long jumpMillis;
+        private boolean diskFull;
+        private long realNanos = System.nanoTime();  // real time of the last update
+        private double shownNanos = realNanos;  // faulty time at that moment
 
-        Hooks(Path file) {
+        FaultHooks(Path file) {
             this.file = file;
         }
 
-        private synchronized void look() {
+        private synchronized void update() {
             long now = System.nanoTime();
-            shown += (now - real) * rate;
-            real = now;
-            if (now - lookedAt < LOOK_NANOS) {
+            shownNanos += (now - realNanos) * rate;
+            realNanos = now;
+            if (now - reloadedAt < RELOAD_INTERVAL_NANOS) {
                 return;
             }
-            lookedAt = now;
+            reloadedAt = now;
             rate = 1;
-            jump = 0;
-            full = false;
+            jumpMillis = 0;
+            diskFull = false;
             try {
                 for (String line : Files.exists(file) ? Files.readAllLines(file, StandardCharsets.UTF_8) : List.<String>of()) {
                     String[] words = line.split(" ");
                     switch (words[0]) {
-                        case "disk" -> full = true;
-                        case "jump" -> jump = (long) Double.parseDouble(words[1]);
+                        case "disk" -> diskFull = true;
+                        case "jump" -> jumpMillis = (long) Double.parseDouble(words[1]);
                         case "rate" -> rate = Double.parseDouble(words[1]);
                         default -> { }
                     }
@@ -133,22 +136,22 @@
 
         @Override
         public synchronized long monotonicMicros() {
-            look();
-            return (long) (shown / 1000);
+            update();
+            return (long) (shownNanos / 1000);
         }
 
         @Override
         public synchronized long wallMillis() {
-            look();
-            return System.currentTimeMillis() + jump;
+            update();
+            return System.currentTimeMillis() + jumpMillis;
         }
 
         Disk disk() {
             return new Disk() {
                 @Override
                 protected void writeFully(FileChannel to, ByteBuffer all) throws IOException {
-                    look();
-                    if (full) {
+                    update();
+                    if (diskFull) {
                         throw new IOException("No space left on device (by the rig)");
                     }
                     super.writeFully(to, all);
@@ -160,7 +163,8 @@
     /** The failure detector, with half a second between probes as in production. The broken variant has a fixed timeout
         of 1 s in place of one that adapts to a peer's pauses. */
     private static Detector detector(String variant, String name) {
-        return !variant.equals(Variants.FIXED_TIME_OUT) ? new Detector(name, 500_000) : new Detector(name, 500_000) {
+        return !variant.equals(BrokenVariants.FIXED_TIMEOUT) ? new Detector(name, 500_000)
+                : new Detector(name, 500_000) {
             @Override
             protected boolean silent(double phi, long quiet) {
                 return quiet > 1_000_000;
@@ -169,7 +173,7 @@
     }
 
     /** The replica's state machine, or a variant that is broken in one way that a checker has to find. */
-    private static Catalogue variant(String name, Clock clock) {
+    private static Catalogue brokenCatalogue(String name, Clock clock) {
         return switch (name) {
             case "none" -> new Catalogue();
             case "revision-reused" -> new Catalogue() {
@@ -197,7 +201,7 @@
                     return super.since(from > 0 && from + 2 < rev() ? from + 2 : from);
                 }
             };
-            case Variants.ONE_REMOVES -> new Catalogue() {
+            case BrokenVariants.ONE_REMOVES -> new Catalogue() {
                 @Override
                 protected int mark(int of, int watching) {
                     return 1;
--- a/rig/src/main/java/mastdrift/rig/LateAnswers.java
+++ b/rig/src/main/java/mastdrift/rig/LateAnswers.java
@@ -9,27 +9,27 @@
 final class LateAnswers {
 
     // A response that comes up to so long after its deadline is late, but not lost.
-    private static final long LOST_BEHIND_MICROS = 500_000;
+    private static final long LOST_AFTER_DEADLINE_MICROS = 500_000;
 
     /**
      * A late response. Times are in microseconds.
      *
      * @param request the request's event
-     * @param late from the deadline to the response
-     * @param starved how long threads of the gateway and of the clients waited for a core meanwhile
-     * @param frozen how long its gateway was frozen by a fault
-     * @param unaccepted how long a fault made all calls to accept fail, if the request had a new connection
+     * @param lateMicros from the deadline to the response
+     * @param starvedMicros how long threads of the gateway and of the clients waited for a core meanwhile
+     * @param frozenMicros how long its gateway was frozen by a fault
+     * @param unacceptedMicros how long a fault made all calls to accept fail, if the request had a new connection
      */
-    record Answer(Event request, long late, long starved, long frozen, long unaccepted) {
+    record Answer(Event request, long lateMicros, long starvedMicros, long frozenMicros, long unacceptedMicros) {
 
         /** Whether it counts as lost with the explained delays subtracted. */
-        boolean lost() {
-            return late - starved - frozen - unaccepted > LOST_BEHIND_MICROS;
+        boolean isLost() {
+            return lateMicros - starvedMicros - frozenMicros - unacceptedMicros > LOST_AFTER_DEADLINE_MICROS;
         }
 
         String text() {
-            return "late_answer: " + request.text("trace") + " by " + request.text("gateway") + " " + late / 1000
-                    + " ms behind its time, starved of a core for " + starved / 1000 + " ms of it";
+            return "late_answer: " + request.text("trace") + " by " + request.text("gateway") + " " + lateMicros / 1000
+                    + " ms behind its time, starved of a core for " + starvedMicros / 1000 + " ms of it";
         }
     }
 
@@ -37,24 +37,25 @@
 
     /** All responses that came over half a second after their deadline, which counts from when the request was last
         sent. */
-    static List<Answer> of(History history) {
-        List<Event> delays = history.events(RunDelays.OP);
+    static List<Answer> find(History history) {
+        List<Event> delays = history.events(RunDelaySampler.OP);
         List<Event> faults = history.events("fault");
         List<Event> freezes = faults.stream().filter(event -> "freeze".equals(event.text("kind"))).toList();
-        List<Event> unaccepted = faults.stream().filter(LateAnswers::failsEveryAccept).toList();
+        List<Event> acceptFaults = faults.stream().filter(LateAnswers::failsEveryAccept).toList();
         List<Answer> answers = new ArrayList<>();
         for (Event request : history.events("request")) {
             long sentAt = request.number("sent_at", request.start());
-            long late = request.end() - sentAt - request.number("deadline_ms", Load.DEADLINE_MILLIS) * 1000;
-            if (request.number("status", 0) == 0 || late <= LOST_BEHIND_MICROS) {
+            long lateMicros = request.end() - sentAt
+                    - request.number("deadline_ms", LoadGenerator.DEADLINE_MILLIS) * 1000;
+            if (request.number("status", 0) == 0 || lateMicros <= LOST_AFTER_DEADLINE_MICROS) {
                 continue;
             }
             String gateway = request.text("gateway");
-            long starved = RunDelays.longest(delays, gateway, sentAt, request.end())
-                    + RunDelays.longest(delays, Stage.CLIENTS, sentAt, request.end());
+            long starvedMicros = RunDelaySampler.longestWait(delays, gateway, sentAt, request.end())
+                    + RunDelaySampler.longestWait(delays, TestBed.CLIENTS, sentAt, request.end());
             boolean reused = Boolean.TRUE.equals(request.facts().get("reused"));
-            answers.add(new Answer(request, late, starved, overlap(freezes, gateway, sentAt, request.end()),
-                    reused ? 0 : overlap(unaccepted, gateway, sentAt, request.end())));
+            answers.add(new Answer(request, lateMicros, starvedMicros, overlap(freezes, gateway, sentAt, request.end()),
+                    reused ? 0 : overlap(acceptFaults, gateway, sentAt, request.end())));
         }
         return answers;
     }
--- a/rig/src/main/java/mastdrift/rig/Linearizability.java
+++ b/rig/src/main/java/mastdrift/rig/Linearizability.java
@@ -28,11 +28,11 @@
 
     enum Answer { YES, NO, OUT_OF_BUDGET }
 
-    private record Tried<S>(BitSet done, S state) { }
+    private record Configuration<S>(BitSet linearized, S state) { }
 
     private final List<Call<S>> calls;
     private final long budget;
-    private final Set<Tried<S>> tried = new HashSet<>();
+    private final Set<Configuration<S>> visited = new HashSet<>();
     private long steps;
 
     private Linearizability(List<? extends Call<S>> calls, long budget) {
@@ -41,8 +41,8 @@
         this.budget = budget;
     }
 
-    /** Tries at most {@code budget} steps. */
-    static <S> Answer of(List<? extends Call<S>> calls, S start, long budget) {
+    /** Searches for an order from the state {@code start}, in at most {@code budget} steps. */
+    static <S> Answer check(List<? extends Call<S>> calls, S start, long budget) {
         Linearizability<S> search = new Linearizability<>(calls, budget);
         boolean found = search.search(start);
         return found ? Answer.YES : search.steps >= budget ? Answer.OUT_OF_BUDGET : Answer.NO;
@@ -50,38 +50,39 @@
 
     /** Searches first without the calls of unknown outcome whose effect nobody has {@code seen}, since an order without
         them is valid and found much faster. Only if there is none, searches with all calls. */
-    static <S> Answer of(List<? extends Call<S>> calls, Predicate<Call<S>> seen, S start, long budget) {
-        List<? extends Call<S>> fewer = calls.stream().filter(call -> call.end() != History.NEVER || seen.test(call)).toList();
-        return of(fewer, start, budget) == Answer.YES ? Answer.YES : of(calls, start, budget);
+    static <S> Answer check(List<? extends Call<S>> calls, Predicate<Call<S>> seen, S start, long budget) {
+        List<? extends Call<S>> observed = calls.stream().filter(call -> call.end() != History.NEVER || seen.test(call))
+                .toList();
+        return check(observed, start, budget) == Answer.YES ? Answer.YES : check(calls, start, budget);
     }
 
     /** A level of the search: the state reached, the call that led to it, and the next call to try. */
     private static final class Frame<S> {
         private final S state;
-        private final int taken;  // the call that led here from the level above; -1 at the root
+        private final int callIndex;  // the call that led here from the level above; -1 at the root
         private int next;
 
-        Frame(S state, int taken) {
+        Frame(S state, int callIndex) {
             this.state = state;
-            this.taken = taken;
+            this.callIndex = callIndex;
         }
     }
 
     private boolean search(S start) {
-        BitSet done = new BitSet(calls.size());
-        int[] known = {(int) calls.stream().filter(call -> call.end() != History.NEVER).count()};
+        BitSet linearized = new BitSet(calls.size());
+        int[] unplacedKnown = {(int) calls.stream().filter(call -> call.end() != History.NEVER).count()};
         List<Frame<S>> path = new ArrayList<>();
         path.add(new Frame<>(start, -1));
         while (!path.isEmpty()) {
-            if (known[0] == 0) {
+            if (unplacedKnown[0] == 0) {
                 return true;
             }
             Frame<S> frame = path.get(path.size() - 1);
-            if (!step(frame, path, done, known)) {
+            if (!placeNext(frame, path, linearized, unplacedKnown)) {
                 path.remove(path.size() - 1);
-                if (frame.taken >= 0) {
-                    done.clear(frame.taken);
-                    known[0] += calls.get(frame.taken).end() == History.NEVER ? 0 : 1;
+                if (frame.callIndex >= 0) {
+                    linearized.clear(frame.callIndex);
+                    unplacedKnown[0] += calls.get(frame.callIndex).end() == History.NEVER ? 0 : 1;
                 }
             }
             if (steps >= budget) {
@@ -92,32 +93,34 @@
     }
 
     /** Appends the next possible call to the order and adds its frame to the path; false if there is none. */
-    private boolean step(Frame<S> frame, List<Frame<S>> path, BitSet done, int[] known) {
-        long firstEnd = firstEnd(done);
-        for (int i = Math.max(frame.next, done.nextClearBit(0)); i < calls.size() && calls.get(i).start() <= firstEnd; i++) {
-            if (done.get(i)) {
+    private boolean placeNext(Frame<S> frame, List<Frame<S>> path, BitSet linearized, int[] unplacedKnown) {
+        long firstEnd = earliestEnd(linearized);
+        for (int i = Math.max(frame.next, linearized.nextClearBit(0)); i < calls.size()
+                && calls.get(i).start() <= firstEnd; i++) {
+            if (linearized.get(i)) {
                 continue;
             }
             steps++;
             Optional<S> after = calls.get(i).after(frame.state);
             if (after.isPresent()) {
-                done.set(i);
-                if (tried.add(new Tried<>((BitSet) done.clone(), after.get()))) {
+                linearized.set(i);
+                if (visited.add(new Configuration<>((BitSet) linearized.clone(), after.get()))) {
                     frame.next = i + 1;
-                    known[0] -= calls.get(i).end() == History.NEVER ? 0 : 1;
+                    unplacedKnown[0] -= calls.get(i).end() == History.NEVER ? 0 : 1;
                     path.add(new Frame<>(after.get(), i));
                     return true;
                 }
-                done.clear(i);
+                linearized.clear(i);
             }
         }
         return false;
     }
 
     /** The earliest end of the calls not ordered yet: none that started later may come next. */
-    private long firstEnd(BitSet done) {
+    private long earliestEnd(BitSet linearized) {
         long first = Long.MAX_VALUE;
-        for (int i = done.nextClearBit(0); i < calls.size() && calls.get(i).start() <= first; i = done.nextClearBit(i + 1)) {
+        for (int i = linearized.nextClearBit(0); i < calls.size()
+                && calls.get(i).start() <= first; i = linearized.nextClearBit(i + 1)) {
             first = Math.min(first, calls.get(i).end());
         }
         return first;
--- a/rig/src/main/java/mastdrift/rig/Link.java
+++ b/rig/src/main/java/mastdrift/rig/Link.java
@@ -31,38 +31,39 @@
     enum Way { THERE, BACK, BOTH }
 
     /** The active fault of one direction. */
-    private record Trouble(Fault.Kind kind, double size, double spread) { }
+    private record Impairment(Fault.Kind kind, double magnitude, double jitter) { }
 
     // The system completes one connection more than this for a listener that accepts none.
     private static final int BACKLOG = 8;
-    private static final int FILL_MOST = BACKLOG + 4;
-    private static final int FILL_LOOK_MILLIS = 20;
-    private static final int TRICKLE_MILLIS = 20;
+    private static final int MAX_FILLERS = BACKLOG + 4;
+    private static final int FILL_CHECK_MILLIS = 20;
+    private static final int TRICKLE_INTERVAL_MILLIS = 20;
 
     private final EventLoop loop;
-    private final InetSocketAddress at;
-    private final InetSocketAddress to;
-    private final DoubleSupplier unit;
-    private final Set<Pair> pairs = new HashSet<>();
+    private final InetSocketAddress listenAddress;
+    private final InetSocketAddress targetAddress;
+    private final DoubleSupplier random;
+    private final Set<RelayedConnection> connections = new HashSet<>();
     private final List<Channel> fillers = new ArrayList<>();
     private final Set<SocketAddress> fillerAddresses = new HashSet<>();
     private Channel server;
-    private Trouble there;
-    private Trouble back;
-    private boolean down;  // no new connection is established
+    private Impairment forward;
+    private Impairment backward;
+    private boolean cut;  // no new connection is established
     private boolean refusing;
 
-    private Link(EventLoop loop, InetSocketAddress at, InetSocketAddress to, DoubleSupplier unit) {
+    private Link(EventLoop loop, InetSocketAddress listenAddress, InetSocketAddress targetAddress,
+            DoubleSupplier random) {
         this.loop = loop;
-        this.at = at;
-        this.to = to;
-        this.unit = unit;
+        this.listenAddress = listenAddress;
+        this.targetAddress = targetAddress;
+        this.random = random;
     }
 
-    /** Opens a link that listens at {@code at} and relays to {@code to}; {@code unit} draws from [0, 1) for delays.
-        Fails if the address is taken. */
-    static Link open(EventLoop loop, InetSocketAddress at, InetSocketAddress to, DoubleSupplier unit) {
-        Link link = new Link(loop, at, to, unit);
+    /** Opens a link; {@code random} draws from [0, 1) for delays. Fails if the address to listen on is taken. */
+    static Link open(EventLoop loop, InetSocketAddress listenAddress, InetSocketAddress targetAddress,
+            DoubleSupplier random) {
+        Link link = new Link(loop, listenAddress, targetAddress, random);
         link.listen().syncUninterruptibly();
         return link;
     }
@@ -74,40 +75,40 @@
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        accepted(channel);
+                        onAccept(channel);
                     }
-                }).bind(at);
+                }).bind(listenAddress);
         server = bound.channel();
         return bound;
     }
 
-    private void accepted(Channel caller) {
-        if (refusing || fillerAddresses.contains(caller.remoteAddress())) {
-            reset(caller);
+    private void onAccept(Channel downstream) {
+        if (refusing || fillerAddresses.contains(downstream.remoteAddress())) {
+            reset(downstream);
             return;
         }
-        Pair pair = new Pair(caller, down);
-        pairs.add(pair);
-        pair.turn();
+        RelayedConnection connection = new RelayedConnection(downstream, cut);
+        connections.add(connection);
+        connection.faultChanged();
     }
 
     /** Injects the fault into one direction or both, in place of any earlier fault there. */
-    void begin(Fault fault) {
+    void inject(Fault fault) {
         loop.submit(() -> {
-            Trouble trouble = new Trouble(fault.kind(), fault.size(), fault.spread());
+            Impairment impairment = new Impairment(fault.kind(), fault.magnitude(), fault.jitter());
             if (fault.kind() == Fault.Kind.REFUSE) {
                 refusing = true;
                 server.close();
-                List.copyOf(pairs).forEach(Pair::reset);
+                List.copyOf(connections).forEach(RelayedConnection::reset);
                 return;
             }
-            there = fault.way() == Way.BACK ? there : trouble;
-            back = fault.way() == Way.THERE ? back : trouble;
-            pairs.forEach(Pair::turn);
+            forward = fault.direction() == Way.BACK ? forward : impairment;
+            backward = fault.direction() == Way.THERE ? backward : impairment;
+            connections.forEach(RelayedConnection::faultChanged);
             if (fault.kind() == Fault.Kind.CUT) {
-                down = true;
+                cut = true;
                 server.config().setAutoRead(false);
-                fill(0);
+                fillBacklog(0);
             }
         }).syncUninterruptibly();
     }
@@ -115,38 +116,38 @@
     /** Ends all faults; bytes that were held back are delivered now. */
     void heal() {
         loop.submit(() -> {
-            there = null;
-            back = null;
-            boolean wasDown = down;
-            down = false;
+            forward = null;
+            backward = null;
+            boolean wasCut = cut;
+            cut = false;
             if (refusing) {
                 refusing = false;
                 listen();
             }
-            if (wasDown) {
+            if (wasCut) {
                 server.config().setAutoRead(true);
                 fillers.forEach(Channel::close);
                 fillers.clear();
             }
-            List.copyOf(pairs).forEach(Pair::turn);
+            List.copyOf(connections).forEach(RelayedConnection::faultChanged);
         }).syncUninterruptibly();
     }
 
     /** Fills the listener's backlog, so that the system drops further SYNs and connections time out, as with a machine
         that is cut off. Opens one connection after the other until one is not established. */
-    private void fill(int tries) {
-        if (!down || tries >= FILL_MOST) {
+    private void fillBacklog(int openFillers) {
+        if (!cut || openFillers >= MAX_FILLERS) {
             return;
         }
-        ChannelFuture dialled = new Bootstrap().group(loop).channel(NioSocketChannel.class)
-                .handler(new ChannelInboundHandlerAdapter()).connect(at);
-        fillers.add(dialled.channel());
+        ChannelFuture connecting = new Bootstrap().group(loop).channel(NioSocketChannel.class)
+                .handler(new ChannelInboundHandlerAdapter()).connect(listenAddress);
+        fillers.add(connecting.channel());
         loop.schedule(() -> {
-            if (dialled.isSuccess()) {
-                fillerAddresses.add(dialled.channel().localAddress());
-                fill(tries + 1);
+            if (connecting.isSuccess()) {
+                fillerAddresses.add(connecting.channel().localAddress());
+                fillBacklog(openFillers + 1);
             }
-        }, FILL_LOOK_MILLIS, TimeUnit.MILLISECONDS);
+        }, FILL_CHECK_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     private static void reset(Channel channel) {
@@ -163,81 +164,82 @@
         loop.submit(() -> {
             fillers.forEach(Channel::close);
             server.close();
-            List.copyOf(pairs).forEach(Pair::reset);
+            List.copyOf(connections).forEach(RelayedConnection::reset);
         }).syncUninterruptibly();
     }
 
     /** A connection that was accepted from the caller, and the one to the target that it is relayed to. */
-    private final class Pair {
-
-        private final Channel caller;
-        private final boolean stray;  // completed by the system during a cut; reset when the cut ends
-        private final Flow there;
-        private Flow back;
-        private Channel called;
-
-        Pair(Channel caller, boolean stray) {
-            this.caller = caller;
-            this.stray = stray;
-            there = new Flow(this, true, caller);
-            caller.pipeline().addLast(there);
-            caller.closeFuture().addListener(ended -> ended());
+    private final class RelayedConnection {
+
+        private final Channel downstream;
+        private final boolean acceptedDuringCut;  // completed by the system during a cut; reset when the cut ends
+        private final Flow forward;
+        private Flow backward;
+        private Channel upstream;
+
+        RelayedConnection(Channel downstream, boolean acceptedDuringCut) {
+            this.downstream = downstream;
+            this.acceptedDuringCut = acceptedDuringCut;
+            forward = new Flow(this, true, downstream);
+            downstream.pipeline().addLast(forward);
+            downstream.closeFuture().addListener(ended -> onHalfClosed());
         }
 
-        void dial() {
-            ChannelFuture dialled = new Bootstrap().group(loop).channel(NioSocketChannel.class)
+        void connectUpstream() {
+            ChannelFuture connecting = new Bootstrap().group(loop).channel(NioSocketChannel.class)
                     .option(ChannelOption.TCP_NODELAY, true).option(ChannelOption.AUTO_READ, false)
                     .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 30_000)
-                    .handler(new ChannelInboundHandlerAdapter()).connect(to);
-            called = dialled.channel();
-            dialled.addListener(done -> {
+                    .handler(new ChannelInboundHandlerAdapter()).connect(targetAddress);
+            upstream = connecting.channel();
+            connecting.addListener(done -> {
                 if (!done.isSuccess()) {
                     reset();
                     return;
                 }
-                back = new Flow(this, false, called);
-                called.pipeline().addLast(back);
-                called.closeFuture().addListener(ended -> ended());
-                there.to = called;
-                back.to = caller;
-                turn();
+                backward = new Flow(this, false, upstream);
+                upstream.pipeline().addLast(backward);
+                upstream.closeFuture().addListener(ended -> onHalfClosed());
+                forward.destination = upstream;
+                backward.destination = downstream;
+                faultChanged();
             });
         }
 
         /** Applies the link's faults after one has begun or ended, or the connection to the target is established. */
-        void turn() {
-            if (called == null && stray && !down) {
+        void faultChanged() {
+            if (upstream == null && acceptedDuringCut && !cut) {
                 reset();
                 return;
             }
-            if (called == null && !stray && (Link.this.there == null || Link.this.there.kind != Fault.Kind.SILENT)) {
-                dial();
+            if (upstream == null && !acceptedDuringCut
+                    && (Link.this.forward == null || Link.this.forward.kind != Fault.Kind.SILENT)) {
+                connectUpstream();
             }
-            there.turn(Link.this.there);
-            if (back != null) {
-                back.turn(Link.this.back);
+            forward.setImpairment(Link.this.forward);
+            if (backward != null) {
+                backward.setImpairment(Link.this.backward);
             }
         }
 
         void reset() {
-            Link.reset(caller);
-            if (called != null) {
-                Link.reset(called);
+            Link.reset(downstream);
+            if (upstream != null) {
+                Link.reset(upstream);
             }
-            pairs.remove(this);
+            connections.remove(this);
         }
 
         /** One of the two connections was closed: delivers its pending bytes and closes the other, unless a fault
             blocks them. */
-        private void ended() {
-            if (!caller.isActive() && called != null && !there.holds()) {
-                there.flushThenClose();
+        private void onHalfClosed() {
+            if (!downstream.isActive() && upstream != null && !forward.isBlocked()) {
+                forward.flushThenClose();
             }
-            if (called != null && !called.isActive() && back != null && !back.holds()) {
-                back.flushThenClose();
+            if (upstream != null && !upstream.isActive() && backward != null && !backward.isBlocked()) {
+                backward.flushThenClose();
             }
-            if (!caller.isActive() && (called == null || !called.isActive())) {
-                pairs.remove(this);
+            if (!downstream.isActive() && (upstream == null || !upstream.isActive())) {
+                connections.remove(this);
             }
         }
     }
@@ -245,142 +247,145 @@
     /** One direction of a relayed connection. */
     private final class Flow extends ChannelInboundHandlerAdapter {
 
-        private final Pair pair;
-        private final boolean forth;
-        private final Channel from;
-        private final Deque<ByteBuf> late = new ArrayDeque<>();
-        private Channel to;
-        private Trouble trouble;
-        private double left;  // until a stall or reset
-        private long lastDue;
-        private boolean dripping;
-
-        Flow(Pair pair, boolean forth, Channel from) {
-            this.pair = pair;
-            this.forth = forth;
-            this.from = from;
+        private final RelayedConnection connection;
+        private final boolean isForward;
+        private final Channel source;
+        private final Deque<ByteBuf> pending = new ArrayDeque<>();
+        private Channel destination;
+        private Impairment impairment;
+        private double bytesLeft;  // until a stall or reset
+        private long lastDueNanos;
+        private boolean trickleScheduled;
+
+        Flow(RelayedConnection connection, boolean isForward, Channel source) {
+            this.connection = connection;
+            this.isForward = isForward;
+            this.source = source;
         }
 
-        boolean holds() {
-            return trouble != null && (trouble.kind == Fault.Kind.CUT || trouble.kind == Fault.Kind.SILENT);
+        boolean isBlocked() {
+            return impairment != null && (impairment.kind == Fault.Kind.CUT || impairment.kind == Fault.Kind.SILENT);
         }
 
-        void turn(Trouble next) {
-            trouble = next;
-            left = next == null ? 0 : next.size;
-            if (to != null) {
-                if (!holds() && !from.isActive()) {
+        void setImpairment(Impairment next) {
+            impairment = next;
+            bytesLeft = next == null ? 0 : next.magnitude;
+            if (destination != null) {
+                if (!isBlocked() && !source.isActive()) {
                     flushThenClose();
                 }
-                from.config().setAutoRead(!holds() && to.isWritable());
+                source.config().setAutoRead(!isBlocked() && destination.isWritable());
                 if (next == null || next.kind != Fault.Kind.TRICKLE && next.kind != Fault.Kind.STALL) {
-                    release();
+                    writePending();
                 }
             }
         }
 
         @Override
         public void channelRead(ChannelHandlerContext context, Object message) {
-            ByteBuf piece = (ByteBuf) message;
-            if (to == null || !to.isActive()) {
-                piece.release();
-            } else if (trouble == null) {
-                late.add(piece);
-                release();
+            ByteBuf bytes = (ByteBuf) message;
+            if (destination == null || !destination.isActive()) {
+                bytes.release();
+            } else if (impairment == null) {
+                pending.add(bytes);
+                writePending();
             } else {
-                pass(piece);
+                applyImpairment(bytes);
             }
         }
 
-        private void pass(ByteBuf piece) {
-            switch (trouble.kind) {
+        private void applyImpairment(ByteBuf bytes) {
+            switch (impairment.kind) {
                 case DELAY -> {
-                    double varied = trouble.size * (1 + trouble.spread * (2 * unit.getAsDouble() - 1));
-                    lastDue = Math.max(lastDue, System.nanoTime() + (long) (varied * 1e6));
-                    late.add(piece);
-                    loop.schedule(this::one, lastDue - System.nanoTime(), TimeUnit.NANOSECONDS);
+                    double delayMillis = impairment.magnitude
+                            * (1 + impairment.jitter * (2 * random.getAsDouble() - 1));
+                    lastDueNanos = Math.max(lastDueNanos, System.nanoTime() + (long) (delayMillis * 1e6));
+                    pending.add(bytes);
+                    loop.schedule(this::writeNext, lastDueNanos - System.nanoTime(), TimeUnit.NANOSECONDS);
                 }
                 case TRICKLE -> {
-                    late.add(piece);
-                    drip();
+                    pending.add(bytes);
+                    trickle();
                 }
                 case STALL, RESET -> {
-                    int passed = (int) Math.min(left, piece.readableBytes());
-                    left -= passed;
-                    to.writeAndFlush(piece.readRetainedSlice(passed));
-                    if (trouble.kind == Fault.Kind.RESET && left <= 0) {
-                        piece.release();
-                        pair.reset();
-                    } else if (piece.isReadable()) {
-                        late.add(piece);
+                    int passed = (int) Math.min(bytesLeft, bytes.readableBytes());
+                    bytesLeft -= passed;
+                    destination.writeAndFlush(bytes.readRetainedSlice(passed));
+                    if (impairment.kind == Fault.Kind.RESET && bytesLeft <= 0) {
+                        bytes.release();
+                        connection.reset();
+                    } else if (bytes.isReadable()) {
+                        pending.add(bytes);
                     } else {
-                        piece.release();
+                        bytes.release();
                     }
                 }
-                default -> late.add(piece);  // blocked: it was received before reading stopped
+                default -> pending.add(bytes);  // blocked: it was received before reading stopped
             }
         }
 
-        private void one() {
-            ByteBuf piece = late.poll();
-            if (piece != null) {
-                to.writeAndFlush(piece);
+        private void writeNext() {
+            ByteBuf bytes = pending.poll();
+            if (bytes != null) {
+                destination.writeAndFlush(bytes);
             }
         }
 
-        private void drip() {
-            if (dripping) {
+        private void trickle() {
+            if (trickleScheduled) {
                 return;
             }
-            dripping = true;
+            trickleScheduled = true;
             loop.schedule(() -> {
-                dripping = false;
-                if (trouble == null || trouble.kind != Fault.Kind.TRICKLE) {
+                trickleScheduled = false;
+                if (impairment == null || impairment.kind != Fault.Kind.TRICKLE) {
                     return;
                 }
-                int bytes = (int) Math.max(1, trouble.size * TRICKLE_MILLIS / 1000);
-                while (bytes > 0 && !late.isEmpty()) {
-                    ByteBuf first = late.peek();
-                    int part = Math.min(bytes, first.readableBytes());
-                    to.write(first.readRetainedSlice(part));
-                    bytes -= part;
+                int budget = (int) Math.max(1, impairment.magnitude * TRICKLE_INTERVAL_MILLIS / 1000);
+                while (budget > 0 && !pending.isEmpty()) {
+                    ByteBuf first = pending.peek();
+                    int count = Math.min(budget, first.readableBytes());
+                    destination.write(first.readRetainedSlice(count));
+                    budget -= count;
                     if (!first.isReadable()) {
-                        late.poll().release();
+                        pending.poll().release();
                     }
                 }
-                to.flush();
-                if (!late.isEmpty()) {
-                    drip();
+                destination.flush();
+                if (!pending.isEmpty()) {
+                    trickle();
                 }
-            }, TRICKLE_MILLIS, TimeUnit.MILLISECONDS);
+            }, TRICKLE_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
         }
 
-        private void release() {
-            for (ByteBuf piece = late.poll(); piece != null; piece = late.poll()) {
-                to.write(piece);
+        private void writePending() {
+            for (ByteBuf bytes = pending.poll(); bytes != null; bytes = pending.poll()) {
+                destination.write(bytes);
             }
-            to.flush();
+            destination.flush();
         }
 
         /** Writes the pending bytes, and then closes the destination. */
         void flushThenClose() {
-            if (to != null && to.isActive()) {
-                release();
-                to.writeAndFlush(io.netty.buffer.Unpooled.EMPTY_BUFFER).addListener(done -> to.close());
+            if (destination != null && destination.isActive()) {
+                writePending();
+                destination.writeAndFlush(io.netty.buffer.Unpooled.EMPTY_BUFFER)
+                        .addListener(done -> destination.close());
             }
         }
 
         @Override
         public void channelWritabilityChanged(ChannelHandlerContext context) {
-            Flow other = forth ? pair.back : pair.there;  // bytes written to this channel are read by the opposite flow
-            if (other != null && other.to != null) {
-                other.from.config().setAutoRead(!other.holds() && other.to.isWritable());
+            // Bytes written to this channel are read by the opposite flow.
+            Flow other = isForward ? connection.backward : connection.forward;
+            if (other != null && other.destination != null) {
+                other.source.config().setAutoRead(!other.isBlocked() && other.destination.isWritable());
             }
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            pair.reset();
+            connection.reset();
         }
     }
 }
--- a/rig/src/main/java/mastdrift/rig/LogWatch.java
+++ b/rig/src/main/java/mastdrift/rig/LogWatcher.java
@@ -11,15 +11,15 @@
 import java.util.regex.Pattern;
 
 /** Looks for a line in growing log files; each call reads only what was added since the one before. */
-final class LogWatch {
+final class LogWatcher {
 
     private final Pattern pattern;
-    private final Map<Path, Long> read = new HashMap<>();
+    private final Map<Path, Long> offsets = new HashMap<>();
 
     /** Lines that are in the logs already are skipped. */
-    LogWatch(String expression, List<Path> logs) {
+    LogWatcher(String expression, List<Path> logs) {
         pattern = Pattern.compile(expression);
-        logs.forEach(log -> read.put(log, size(log)));
+        logs.forEach(log -> offsets.put(log, size(log)));
     }
 
     private static long size(Path log) {
@@ -31,19 +31,20 @@
     }
 
     /** Whether a line that matches has been added since the last call. */
-    boolean seen() {
-        for (Map.Entry<Path, Long> each : read.entrySet()) {
+    boolean matched() {
+        for (Map.Entry<Path, Long> each : offsets.entrySet()) {
             if (size(each.getKey()) <= each.getValue()) {
                 continue;
             }
             try (RandomAccessFile log = new RandomAccessFile(each.getKey().toFile(), "r")) {
                 log.seek(each.getValue());
-                byte[] fresh = new byte[(int) (log.length() - each.getValue())];
-                log.readFully(fresh);
-                String text = new String(fresh, StandardCharsets.UTF_8);
-                int whole = text.lastIndexOf('\n') + 1;
-                each.setValue(each.getValue() + text.substring(0, whole).getBytes(StandardCharsets.UTF_8).length);
-                if (text.substring(0, whole).lines().anyMatch(line -> pattern.matcher(line).find())) {
+                byte[] added = new byte[(int) (log.length() - each.getValue())];
+                log.readFully(added);
+                String text = new String(added, StandardCharsets.UTF_8);
+                int completeLength = text.lastIndexOf('\n') + 1;
+                each.setValue(each.getValue() + text.substring(0, completeLength)
+                        .getBytes(StandardCharsets.UTF_8).length);
+                if (text.substring(0, completeLength).lines().anyMatch(line -> pattern.matcher(line).find())) {
                     return true;
                 }
             } catch (IOException e) {
--- a/rig/src/main/java/mastdrift/rig/Program.java
+++ b/rig/src/main/java/mastdrift/rig/ManagedProcess.java
@@ -16,7 +16,7 @@
 
 /** A process that the rig starts, with its own folder for its data and its log. Signals are sent to its process id
     only. Called from the fault injector's thread while faults are injected. */
-final class Program {
+final class ManagedProcess {
 
     /** What is needed to start it; {@code data} is the folder in which it stores its own files. */
     record Spec(String name, List<String> command, Map<String, String> environment, Path folder, Path workingFolder) {
@@ -29,23 +29,23 @@
         }
     }
 
-    private static final int END_SECONDS = 20;
-    private static final int HEARS_AFTER_MILLIS = 1000;
+    private static final int EXIT_TIMEOUT_SECONDS = 20;
+    private static final int NO_HANGUP_MILLIS = 1000;
 
     /** The lock held while a process is started, and around a socket whose port must be free once it is closed: a child
         inherits its parent's sockets, and on a busy machine it may close them later than the parent does. */
-    static final Object FORKING = new Object();
+    static final Object FORK_LOCK = new Object();
 
     private final Spec spec;
-    private final Warden warden;
+    private final ProcessReaper reaper;
     private volatile Process process;
     private volatile long startedAt;
-    private Duration cpuBefore = Duration.ZERO;  // of earlier processes of this name
+    private Duration earlierCpuTime = Duration.ZERO;  // of earlier processes of this name
     private volatile boolean frozen;
 
-    Program(Spec spec, Warden warden) {
+    ManagedProcess(Spec spec, ProcessReaper reaper) {
         this.spec = spec;
-        this.warden = warden;
+        this.reaper = reaper;
     }
 
     String name() {
@@ -62,11 +62,11 @@
             ProcessBuilder builder = new ProcessBuilder(spec.command).directory(spec.workingFolder.toFile())
                     .redirectErrorStream(true).redirectOutput(ProcessBuilder.Redirect.appendTo(spec.log().toFile()));
             builder.environment().putAll(spec.environment);
-            synchronized (FORKING) {
+            synchronized (FORK_LOCK) {
                 process = builder.start();
                 startedAt = System.nanoTime();
             }
-            warden.began(process.pid());
+            reaper.processStarted(process.pid());
         } catch (IOException e) {
             throw new UncheckedIOException("can't start " + spec.name + ": " + e.getMessage(), e);
         }
@@ -76,31 +76,32 @@
         return process.pid();
     }
 
-    boolean alive() {
+    boolean isAlive() {
         return process != null && process.isAlive();
     }
 
     /** Alive, and not frozen. */
-    boolean running() {
-        return alive() && !frozen;
+    boolean isRunning() {
+        return isAlive() && !frozen;
     }
 
     /** The exit status; null while it runs or before its first start. */
-    Integer status() {
-        return alive() || process == null ? null : process.exitValue();
+    Integer exitStatus() {
+        return isAlive() || process == null ? null : process.exitValue();
     }
 
     /** The CPU time of all its processes so far, restarts included. */
-    Duration cpu() {
-        return alive() ? cpuBefore.plus(process.info().totalCpuDuration().orElse(Duration.ZERO)) : cpuBefore;
+    Duration cpuTime() {
+        return isAlive() ? earlierCpuTime.plus(process.info().totalCpuDuration().orElse(Duration.ZERO))
+                : earlierCpuTime;
     }
 
     /** Writes a line to its standard input; does nothing if it has ended. */
-    void tell(String line) {
+    void writeLine(String line) {
         try {
-            OutputStream to = process.getOutputStream();
-            to.write((line + "\n").getBytes(StandardCharsets.UTF_8));
-            to.flush();
+            OutputStream input = process.getOutputStream();
+            input.write((line + "\n").getBytes(StandardCharsets.UTF_8));
+            input.flush();
         } catch (IOException e) {
             // it has ended, which is reported elsewhere
         }
@@ -108,49 +109,49 @@
 
     /** Sends SIGKILL, which also ends a frozen process, and waits for its end. */
     void kill() {
-        end("KILL");
+        signalAndWait("KILL");
     }
 
     /** Sends SIGTERM and does not wait. */
-    void terminate() {
-        if (alive()) {
+    void sendTerminate() {
+        if (isAlive()) {
             signal("TERM");
         }
     }
 
     /** Sends SIGHUP, but not in the process's first second: the platform sends none then, nor before the process is
         ready. */
-    void hangUp() {
-        if (alive() && System.nanoTime() - startedAt > TimeUnit.MILLISECONDS.toNanos(HEARS_AFTER_MILLIS)) {
+    void sendHangUp() {
+        if (isAlive() && System.nanoTime() - startedAt > TimeUnit.MILLISECONDS.toNanos(NO_HANGUP_MILLIS)) {
             signal("HUP");
         }
     }
 
     /** Sends SIGTERM, waits for its end, and kills it on timeout. True if it ended without being killed. */
-    boolean term() {
-        return end("TERM");
+    boolean terminateAndWait() {
+        return signalAndWait("TERM");
     }
 
-    private boolean end(String signal) {
-        if (!alive()) {
+    private boolean signalAndWait(String signal) {
+        if (!isAlive()) {
             return true;
         }
-        Duration cpu = cpu();
+        Duration cpu = cpuTime();
         signal(signal);
-        boolean ended = await();
-        if (!ended) {
+        boolean exited = awaitExit();
+        if (!exited) {
             process.destroyForcibly();
-            await();
+            awaitExit();
         }
-        cpuBefore = cpu;
+        earlierCpuTime = cpu;
         frozen = false;
-        warden.ended(process.pid());
-        return ended;
+        reaper.processEnded(process.pid());
+        return exited;
     }
 
-    private boolean await() {
+    private boolean awaitExit() {
         try {
-            return process.waitFor(END_SECONDS, TimeUnit.SECONDS);
+            return process.waitFor(EXIT_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             return false;
@@ -162,8 +163,8 @@
         signal("STOP");
     }
 
-    void wake() {
-        if (frozen && alive()) {
+    void resume() {
+        if (frozen && isAlive()) {
             frozen = false;
             signal("CONT");
         }
@@ -179,23 +180,23 @@
         }
     }
 
-    /** Copies its data folder for {@link #older}, not atomically: files may change while they are copied. */
-    void keepCopy() {
+    /** Copies its data folder for {@link #restoreBackup}, not atomically: files may change while they are copied. */
+    void backUpData() {
         copy(spec.data(), spec.folder.resolve("older"));
     }
 
     /** Replaces its data folder by the copy; only while it is down. */
-    void older() {
+    void restoreBackup() {
         copy(spec.folder.resolve("older"), spec.data());
     }
 
     /** Deletes its data folder; only while it is down. */
-    void wipe() {
-        delete(spec.data());
+    void deleteData() {
+        deleteFolder(spec.data());
     }
 
     private static void copy(Path from, Path to) {
-        delete(to);
+        deleteFolder(to);
         try (Stream<Path> all = Files.walk(from)) {
             for (Path each : (Iterable<Path>) all::iterator) {
                 Path target = to.resolve(from.relativize(each).toString());
@@ -210,7 +211,7 @@
         }
     }
 
-    static void delete(Path folder) {
+    static void deleteFolder(Path folder) {
         if (!Files.exists(folder)) {
             return;
         }
--- a/rig/src/main/java/mastdrift/rig/MemberCheck.java
+++ b/rig/src/main/java/mastdrift/rig/MemberCheck.java
@@ -15,10 +15,10 @@
 final class MemberCheck implements Check {
 
     /** A fault explains a removal for so long after its end, since the last report of a silent member may come late. */
-    private static final long AFTER_MICROS = 6_000_000;
+    private static final long FAULT_AFTERMATH_MICROS = 6_000_000;
 
     @Override
-    public Verdict look(History history) {
+    public Verdict evaluate(History history) {
         List<String> breaches = new ArrayList<>();
         TreeMap<Long, Set<String>> views = new TreeMap<>();
         Map<Long, Long> firstSeen = new HashMap<>();
@@ -30,7 +30,7 @@
         Set<String> before = Set.of();
         for (Map.Entry<Long, Set<String>> view : views.entrySet()) {
             for (String name : before) {
-                if (!view.getValue().contains(name) && !excused(history, name, firstSeen.get(view.getKey()))) {
+                if (!view.getValue().contains(name) && !isExcused(history, name, firstSeen.get(view.getKey()))) {
                     breaches.add(name + " left with view " + view.getKey() + ", and nothing had been done to it");
                 }
             }
@@ -42,10 +42,10 @@
             running.removeIf(name -> !name.startsWith("member-"));
             Set<String> missing = new TreeSet<>(running);
             missing.removeAll(before);
-            Set<String> ghosts = new TreeSet<>(before);
-            ghosts.removeAll(running);
+            Set<String> unexpected = new TreeSet<>(before);
+            unexpected.removeAll(running);
             missing.forEach(name -> breaches.add(name + " runs, and is not in the last view"));
-            ghosts.forEach(name -> breaches.add(name + " is in the last view, and does not run"));
+            unexpected.forEach(name -> breaches.add(name + " is in the last view, and does not run"));
         }
         return Verdict.of("members", breaches);
     }
@@ -56,18 +56,18 @@
         return names;
     }
 
-    private static boolean excused(History history, String name, long at) {
+    private static boolean isExcused(History history, String name, long at) {
         return history.events("fault").stream().anyMatch(fault -> fault.start() <= at
-                && (!fault.known() || at <= fault.end() + AFTER_MICROS) && !slow(fault)
-                && (named(fault, "processes", name) || named(fault, "others", name)));
+                && (!fault.isKnown() || at <= fault.end() + FAULT_AFTERMATH_MICROS) && !isDelay(fault)
+                && (affects(fault, "processes", name) || affects(fault, "others", name)));
     }
 
     /** A delay explains no removal: a slow member has to be waited for. */
-    private static boolean slow(Event fault) {
+    private static boolean isDelay(Event fault) {
         return "delay".equals(fault.text("kind"));
     }
 
-    private static boolean named(Event fault, String side, String name) {
+    private static boolean affects(Event fault, String side, String name) {
         return fault.facts().get(side) instanceof List<?> names && names.contains(name);
     }
 }
--- a/rig/src/main/java/mastdrift/rig/PlanFile.java
+++ b/rig/src/main/java/mastdrift/rig/PlanFile.java
@@ -23,108 +23,120 @@
     }
 
     private static RigPlan plan(TomlFile file) throws TomlFile.ValidationException {
-        TomlFile.Section top = file.root();
-        TomlFile.Section g = top.section("gateways");
-        RigPlan.Gateways gateways = new RigPlan.Gateways(g.integer("count", 0, 0, 60), g.bool("agents", false));
-        g.rejectUnknownKeys();
-        TomlFile.Section h = top.section("hosts");
-        RigPlan.Hosts hosts = new RigPlan.Hosts(h.integer("count", 0, 0, 100), h.names("zones", List.of("a", "b", "c")),
-                h.integer("cores", 2, 1, 64), h.range("work_ms", 4, 8, 0.01, 1000),
-                h.integer("lease_ms", 0, 0, 600_000));
-        h.rejectUnknownKeys();
-        TomlFile.Section l = top.section("load");
-        RigPlan.Load load = new RigPlan.Load(l.range("rate", 0, 0, 0, 20_000), l.integer("keys", 250, 1, 1_000_000),
-                l.number("fresh", 0, 0, 1), l.number("leave", 0, 0, 1),
-                l.range("deadline_ms", Load.DEADLINE_MILLIS, Load.DEADLINE_MILLIS, 20, 60_000), l.range("idle", 0, 0, 0, 2000),
-                l.range("stuck", 0, 0, 0, 100), l.number("crowd", 0, 0, 1), l.bool("direct", false));
-        l.rejectUnknownKeys();
-        TomlFile.Section r = top.section("registry");
-        RigPlan.Registry registry = new RigPlan.Registry(r.integer("replicas", 0, 0, 7));
-        r.rejectUnknownKeys();
-        TomlFile.Section w = top.section("work");
-        RigPlan.Work work = new RigPlan.Work(w.integer("writers", 0, 0, 64), w.integer("entries", 8, 1, 10_000),
-                w.integer("watchers", 0, 0, 2000), w.range("rate", 20, 20, 0.1, 1000), w.integer("lease_ms", 0, 0, 600_000));
-        w.rejectUnknownKeys();
-        TomlFile.Section d = top.section("duties");
-        RigPlan.Duties duties = new RigPlan.Duties(d.integer("candidates", 0, 0, 20), d.integer("term_ms", 3000, 500, 60_000),
-                d.range("start_s", 1, 2, 0, 600));
-        d.rejectUnknownKeys();
-        TomlFile.Section m = top.section("members");
-        RigPlan.Members members = new RigPlan.Members(m.integer("count", 0, 0, 80), m.names("zones", List.of("a", "b", "c")));
-        m.rejectUnknownKeys();
+        TomlFile.Section root = file.root();
+        TomlFile.Section gatewaySection = root.section("gateways");
+        RigPlan.Gateways gateways = new RigPlan.Gateways(gatewaySection.integer("count", 0, 0, 60),
+                gatewaySection.bool("agents", false));
+        gatewaySection.rejectUnknownKeys();
+        TomlFile.Section hostSection = root.section("hosts");
+        RigPlan.Hosts hosts = new RigPlan.Hosts(hostSection.integer("count", 0, 0, 100),
+                hostSection.names("zones", List.of("a", "b", "c")),
+                hostSection.integer("cores", 2, 1, 64), hostSection.range("work_ms", 4, 8, 0.01, 1000),
+                hostSection.integer("lease_ms", 0, 0, 600_000));
+        hostSection.rejectUnknownKeys();
+        TomlFile.Section loadSection = root.section("load");
+        RigPlan.Load load = new RigPlan.Load(loadSection.range("rate", 0, 0, 0, 20_000),
+                loadSection.integer("keys", 250, 1, 1_000_000),
+                loadSection.number("fresh", 0, 0, 1), loadSection.number("leave", 0, 0, 1),
+                loadSection.range("deadline_ms", LoadGenerator.DEADLINE_MILLIS, LoadGenerator.DEADLINE_MILLIS,
+                        20, 60_000),
+                loadSection.range("idle", 0, 0, 0, 2000),
+                loadSection.range("stuck", 0, 0, 0, 100), loadSection.number("crowd", 0, 0, 1),
+                loadSection.bool("direct", false));
+        loadSection.rejectUnknownKeys();
+        TomlFile.Section registrySection = root.section("registry");
+        RigPlan.Registry registry = new RigPlan.Registry(registrySection.integer("replicas", 0, 0, 7));
+        registrySection.rejectUnknownKeys();
+        TomlFile.Section workSection = root.section("work");
+        RigPlan.RegistryWorkload registryWorkload = new RigPlan.RegistryWorkload(
+                workSection.integer("writers", 0, 0, 64), workSection.integer("entries", 8, 1, 10_000),
+                workSection.integer("watchers", 0, 0, 2000), workSection.range("rate", 20, 20, 0.1, 1000),
+                workSection.integer("lease_ms", 0, 0, 600_000));
+        workSection.rejectUnknownKeys();
+        TomlFile.Section dutySection = root.section("duties");
+        RigPlan.Duties duties = new RigPlan.Duties(dutySection.integer("candidates", 0, 0, 20),
+                dutySection.integer("term_ms", 3000, 500, 60_000), dutySection.range("start_s", 1, 2, 0, 600));
+        dutySection.rejectUnknownKeys();
+        TomlFile.Section memberSection = root.section("members");
+        RigPlan.Members members = new RigPlan.Members(memberSection.integer("count", 0, 0, 80),
+                memberSection.names("zones", List.of("a", "b", "c")));
+        memberSection.rejectUnknownKeys();
         if (members.count() > 0 && registry.replicas() == 0) {
-            m.addError("count", "needs [registry] replicas of 1 or more");
+            memberSection.addError("count", "needs [registry] replicas of 1 or more");
         }
         if (duties.candidates() > 0 && (registry.replicas() == 0 || gateways.count() == 0)) {
-            d.addError("candidates", "needs [registry] replicas and [gateways]");
+            dutySection.addError("candidates", "needs [registry] replicas and [gateways]");
         }
-        if (gateways.agents() && registry.replicas() == 0) {
-            g.addError("agents", "needs [registry] replicas of 1 or more");
+        if (gateways.usesAgents() && registry.replicas() == 0) {
+            gatewaySection.addError("agents", "needs [registry] replicas of 1 or more");
         }
         if (load.rate().to() > 0 && (gateways.count() == 0 || hosts.count() == 0)) {
-            l.addError("rate", "needs [gateways] and [hosts]");
+            loadSection.addError("rate", "needs [gateways] and [hosts]");
         }
-        if ((work.writers() > 0 || work.watchers() > 0) && registry.replicas() == 0) {
-            w.addError("writers", "needs [registry] replicas of 1 or more");
+        if ((registryWorkload.writers() > 0 || registryWorkload.watchers() > 0) && registry.replicas() == 0) {
+            workSection.addError("writers", "needs [registry] replicas of 1 or more");
         }
-        boolean relay = top.bool("relay", true);
-        List<RigPlan.Trouble> faults = new ArrayList<>();
-        for (TomlFile.Section f : top.sections("fault")) {
-            faults.add(fault(f, relay));
+        boolean usesLinks = root.bool("relay", true);
+        List<RigPlan.FaultSpec> faults = new ArrayList<>();
+        for (TomlFile.Section faultSection : root.sections("fault")) {
+            faults.add(faultSpec(faultSection, usesLinks));
         }
-        List<String> checks = top.names("check", List.of("rules"));
+        List<String> checks = root.names("check", List.of("rules"));
         for (String check : checks) {
             if (!Checks.NAMES.contains(check)) {
-                top.addError("check", "expected some of " + String.join(", ", Checks.NAMES) + ", not " + check);
+                root.addError("check", "expected some of " + String.join(", ", Checks.NAMES) + ", not " + check);
             }
         }
-        RigPlan plan = new RigPlan(top.name("name", "plan"), top.integer("seconds", 15, 1, 3600),
-                top.integer("settle_s", 3, 0, 120), relay, gateways, hosts, load, registry, work, duties, members,
-                faults, checks);
-        top.rejectUnknownKeys();
+        RigPlan plan = new RigPlan(root.name("name", "plan"), root.integer("seconds", 15, 1, 3600),
+                root.integer("settle_s", 3, 0, 120), usesLinks, gateways, hosts, load, registry, registryWorkload,
+                duties, members, faults, checks);
+        root.rejectUnknownKeys();
         file.throwIfInvalid();
         return plan;
     }
 
-    private static RigPlan.Trouble fault(TomlFile.Section f, boolean relay) {
-        Fault.Kind kind = f.enumValue("kind", Fault.Kind.class, null);
-        String when = f.string("when", null);
-        if (when != null) {
+    private static RigPlan.FaultSpec faultSpec(TomlFile.Section section, boolean usesLinks) {
+        Fault.Kind kind = section.enumValue("kind", Fault.Kind.class, null);
+        String triggerPattern = section.string("when", null);
+        if (triggerPattern != null) {
             try {
-                Pattern.compile(when);
+                Pattern.compile(triggerPattern);
             } catch (PatternSyntaxException e) {
-                f.addError("when", "expected a regular expression: " + e.getDescription());
+                section.addError("when", "expected a regular expression: " + e.getDescription());
             }
         }
-        boolean link = kind != null && kind.link;
-        String process = f.name("process", null);
-        String from = f.name("from", null);
-        String to = f.name("to", null);
-        if (kind != null && link && (from == null || to == null)) {
-            f.addError("kind", "needs from and to, as between two processes");
+        boolean affectsLinks = kind != null && kind.affectsLinks;
+        String process = section.name("process", null);
+        String from = section.name("from", null);
+        String to = section.name("to", null);
+        if (kind != null && affectsLinks && (from == null || to == null)) {
+            section.addError("kind", "needs from and to, as between two processes");
         }
-        if (kind != null && !link && process == null) {
-            f.addError("kind", "needs process");
+        if (kind != null && !affectsLinks && process == null) {
+            section.addError("kind", "needs process");
         }
-        if (link && !relay) {
-            f.addError("kind", "needs links, which relay = false leaves out");
+        if (affectsLinks && !usesLinks) {
+            section.addError("kind", "needs links, which relay = false leaves out");
         }
-        RigPlan.Trouble trouble = new RigPlan.Trouble(kind, process, from, to, f.integer("pick", 0, 0, 200),
-                f.range("at_s", 3, 6, 0, 3600), f.range("for_s", 2, 4, 0, 3600), f.enumValue("way", Link.Way.class, Link.Way.BOTH),
-                f.range("size", 0, 0, kind == Fault.Kind.SYSTEM_CALL ? -1e9 : 0, 1e9), f.number("spread", 0, 0, 1), f.enumValue("back", Fault.Back.class, Fault.Back.KEEP),
-                when, f.number("heal", 1, 0, 1), f.integer("times", 1, 1, 100),
-                kind == Fault.Kind.SYSTEM_CALL ? systemCall(f) : null, f.number("chance", 1, 0, 1));
-        f.rejectUnknownKeys();
-        return trouble;
+        RigPlan.FaultSpec spec = new RigPlan.FaultSpec(kind, process, from, to, section.integer("pick", 0, 0, 200),
+                section.range("at_s", 3, 6, 0, 3600), section.range("for_s", 2, 4, 0, 3600),
+                section.enumValue("way", Link.Way.class, Link.Way.BOTH),
+                section.range("size", 0, 0, kind == Fault.Kind.SYSTEM_CALL ? -1e9 : 0, 1e9),
+                section.number("spread", 0, 0, 1), section.enumValue("back", Fault.Back.class, Fault.Back.KEEP),
+                triggerPattern, section.number("heal", 1, 0, 1), section.integer("times", 1, 1, 100),
+                kind == Fault.Kind.SYSTEM_CALL ? systemCall(section) : null, section.number("chance", 1, 0, 1));
+        section.rejectUnknownKeys();
+        return spec;
     }
 
-    private static SystemCall systemCall(TomlFile.Section f) {
-        SystemCall.Call call = f.enumValue("call", SystemCall.Call.class, null);
-        String name = f.name("error", "");
+    private static SystemCall systemCall(TomlFile.Section section) {
+        SystemCall.Call call = section.enumValue("call", SystemCall.Call.class, null);
+        String name = section.name("error", "");
         SystemCall.Error error = SystemCall.error(name);
-        if (call != null && (error == null || !call.fails(error))) {
-            f.addError("error", "expected one of " + call.errorNames() + ", not " + name);
+        if (call != null && (error == null || !call.supports(error))) {
+            section.addError("error", "expected one of " + call.errorNames() + ", not " + name);
         }
-        return new SystemCall(call, error, f.number("rate", 1, 0, 1), f.enumValue("side", SystemCall.Side.class, SystemCall.Side.ANY));
+        return new SystemCall(call, error, section.number("rate", 1, 0, 1),
+                section.enumValue("side", SystemCall.Side.class, SystemCall.Side.ANY));
     }
 }
--- a/rig/src/main/java/mastdrift/rig/Warden.java
+++ b/rig/src/main/java/mastdrift/rig/ProcessReaper.java
@@ -7,7 +7,7 @@
 
 /** Kills the rig's processes when the rig itself has been killed: a shell process that is told their ids through a
     pipe, and kills those still running when the pipe is closed. */
-final class Warden implements AutoCloseable {
+final class ProcessReaper implements AutoCloseable {
 
     private static final String SCRIPT = """
             trap '' INT TERM HUP
@@ -22,30 +22,30 @@
             """;
 
     private final Process process;
-    private final Writer to;
+    private final Writer pipe;
 
-    Warden() {
+    ProcessReaper() {
         try {
             process = new ProcessBuilder("sh", "-c", SCRIPT).redirectErrorStream(true)
                     .redirectOutput(ProcessBuilder.Redirect.DISCARD).start();
-            to = process.outputWriter(StandardCharsets.UTF_8);
+            pipe = process.outputWriter(StandardCharsets.UTF_8);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
     }
 
-    void began(long pid) {
-        tell("began " + pid);
+    void processStarted(long pid) {
+        send("began " + pid);
     }
 
-    void ended(long pid) {
-        tell("ended " + pid);
+    void processEnded(long pid) {
+        send("ended " + pid);
     }
 
-    private synchronized void tell(String line) {
+    private synchronized void send(String line) {
         try {
-            to.write(line + "\n");
-            to.flush();
+            pipe.write(line + "\n");
+            pipe.flush();
         } catch (IOException e) {
             throw new UncheckedIOException("the process reaper has ended", e);
         }
@@ -55,7 +55,7 @@
     @Override
     public void close() {
         try {
-            to.close();
+            pipe.close();
             process.waitFor();
         } catch (IOException e) {
             throw new UncheckedIOException(e);
--- a/rig/src/main/java/mastdrift/rig/RegisterCheck.java
+++ b/rig/src/main/java/mastdrift/rig/RegisterCheck.java
@@ -10,18 +10,18 @@
 import mastdrift.rig.History.Event;
 
 /** Checks that reads, writes and compare-and-sets of each entry of the list service are linearizable as those of a
-    register with a revision: events {@code read}, {@code put}, {@code cas} with {@code key}, {@code value}, {@code
-    rev}, {@code if_rev}, {@code ok}. */
+    register with a revision: events {@code read}, {@code put}, {@code cas} with {@code key}, {@code value},
+    {@code rev}, {@code if_rev}, {@code ok}. */
 final class RegisterCheck implements Check {
 
-    static final long BUDGET = 5_000_000;
-    private static final long UNKNOWN = -1;  // of a write whose outcome is unknown
+    static final long MAX_SEARCH_STEPS = 5_000_000;
+    private static final long UNKNOWN_REVISION = -1;  // of a write whose outcome is unknown
 
     /** An entry: its value, null if there is no entry, and the revision of the write that made it. */
     record Register(String value, long rev) {
 
-        boolean may(long other) {
-            return rev == UNKNOWN || rev == other;
+        boolean mayHaveRevision(long other) {
+            return rev == UNKNOWN_REVISION || rev == other;
         }
     }
 
@@ -39,20 +39,22 @@
         @Override
         public Optional<Register> after(Register now) {
             String value = event.text("value");
-            long rev = event.number("rev", UNKNOWN);
+            long rev = event.number("rev", UNKNOWN_REVISION);
             boolean ok = Boolean.TRUE.equals(event.facts().get("ok"));
             return switch (event.op()) {
-                case "read" -> java.util.Objects.equals(value, now.value) && now.may(rev)
+                case "read" -> java.util.Objects.equals(value, now.value) && now.mayHaveRevision(rev)
                         ? Optional.of(new Register(value, rev)) : Optional.empty();
-                case "put" -> !event.known() ? Optional.of(new Register(value, UNKNOWN))
+                case "put" -> !event.isKnown() ? Optional.of(new Register(value, UNKNOWN_REVISION))
                         : rev > now.rev ? Optional.of(new Register(value, rev)) : Optional.empty();
                 case "cas" -> {
                     long expected = event.number("if_rev", 0);
-                    if (!event.known()) {
-                        yield now.may(expected) ? Optional.of(new Register(value, UNKNOWN)) : Optional.empty();
+                    if (!event.isKnown()) {
+                        yield now.mayHaveRevision(expected) ? Optional.of(new Register(value, UNKNOWN_REVISION))
+                                : Optional.empty();
                     }
                     if (ok) {
-                        yield now.may(expected) && rev > now.rev ? Optional.of(new Register(value, rev)) : Optional.empty();
+                        yield now.mayHaveRevision(expected) && rev > now.rev ? Optional.of(new Register(value, rev))
+                                : Optional.empty();
                     }
                     yield now.rev != expected ? Optional.of(now) : Optional.empty();
                 }
@@ -62,11 +64,11 @@
     }
 
     @Override
-    public Verdict look(History history) {
+    public Verdict evaluate(History history) {
         Map<String, List<Call>> byKey = new HashMap<>();
         for (Event event : history.events()) {
             boolean read = event.op().equals("read");
-            if ((read && event.known() || event.op().equals("put") || event.op().equals("cas"))
+            if ((read && event.isKnown() || event.op().equals("put") || event.op().equals("cas"))
                     && !"refused".equals(event.text("outcome"))) {
                 byKey.computeIfAbsent(event.text("key"), key -> new ArrayList<>()).add(new Call(event));
             }
@@ -76,8 +78,8 @@
         byKey.forEach((key, calls) -> {
             Set<String> read = calls.stream().filter(call -> call.event.op().equals("read"))
                     .map(call -> String.valueOf(call.event.text("value"))).collect(Collectors.toSet());
-            switch (Linearizability.of(calls, call -> read.contains(((Call) call).event.text("value")),
-                    new Register(null, 0), BUDGET)) {
+            switch (Linearizability.check(calls, call -> read.contains(((Call) call).event.text("value")),
+                    new Register(null, 0), MAX_SEARCH_STEPS)) {
                 case NO -> breaches.add(calls.size() + " calls on " + key + " can't be put in one order");
                 case OUT_OF_BUDGET -> undecided[0] = true;
                 default -> { }
--- a/rig/src/main/java/mastdrift/rig/Work.java
+++ b/rig/src/main/java/mastdrift/rig/RegistryWorkload.java
@@ -24,22 +24,22 @@
 /** A workload for the list service: writers put, compare-and-set and read entries, watchers follow the list, and all
     calls and received lines are recorded in the history. An entry's model field holds the written value, unique to each
     write. */
-final class Work implements AutoCloseable {
+final class RegistryWorkload implements AutoCloseable {
 
-    private static final Duration WITHIN = Duration.ofSeconds(3);
-    private static final int SILENCE_MILLIS = 5000;
+    private static final Duration CALL_TIMEOUT = Duration.ofSeconds(3);
+    private static final int WATCH_SILENCE_MILLIS = 5000;
 
-    private final RigPlan.Work plan;
+    private final RigPlan.RegistryWorkload plan;
     private final List<String> replicas;  // addresses
     private final History history;
     private final EventLoop loop;
     private final long seed;
-    private final AtomicLong values = new AtomicLong();
+    private final AtomicLong valueCount = new AtomicLong();
     private final List<Thread> threads = new ArrayList<>();
     private final List<Watcher> watchers = new ArrayList<>();
-    private volatile boolean over;
+    private volatile boolean stopped;
 
-    Work(RigPlan.Work plan, List<String> replicas, EventLoop loop, long seed, History history) {
+    RegistryWorkload(RigPlan.RegistryWorkload plan, List<String> replicas, EventLoop loop, long seed, History history) {
         this.plan = plan;
         this.replicas = replicas;
         this.loop = loop;
@@ -51,38 +51,39 @@
         double rate = new Dice(seed, "work").in(plan.rate());
         for (int i = 0; i < plan.writers(); i++) {
             int number = i;
-            Thread thread = new Thread(() -> write("writer-" + number, new Dice(seed, "writer-" + number), rate));
+            Thread thread = new Thread(() -> runWriter("writer-" + number, new Dice(seed, "writer-" + number), rate));
             thread.start();
             threads.add(thread);
         }
         for (int i = 0; i < plan.watchers(); i++) {
             Watcher watcher = new Watcher("watcher-" + i, new Dice(seed, "watcher-" + i));
             watchers.add(watcher);
-            loop.execute(watcher::follow);
+            loop.execute(watcher::connect);
         }
     }
 
     /** Stops the writers and waits for them; the watchers go on. */
     void stopWriting() throws InterruptedException {
-        over = true;
+        stopped = true;
         for (Thread thread : threads) {
             thread.join();
         }
     }
 
-    private void write(String name, Dice dice, double rate) {
-        HttpClient client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).connectTimeout(WITHIN).build();
-        Map<String, Long> seen = new HashMap<>();  // the last known revision by key, for compare-and-set
+    private void runWriter(String name, Dice dice, double rate) {
+        HttpClient client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).connectTimeout(CALL_TIMEOUT)
+                .build();
+        Map<String, Long> revisions = new HashMap<>();  // the last known revision by key, for compare-and-set
         try {
-            while (!over) {
+            while (!stopped) {
                 String key = "entry-" + dice.below(plan.entries());
                 String at = replicas.get(dice.below(replicas.size()));
-                double what = dice.unit();
-                if (what < 0.4) {
-                    read(client, name, at, key, seen, "read");
+                double action = dice.unit();
+                if (action < 0.4) {
+                    read(client, name, at, key, revisions, "read");
                 } else {
-                    boolean compare = what < 0.6 && seen.containsKey(key);
-                    change(client, name, at, key, compare ? seen.get(key) : null, seen);
+                    boolean compares = action < 0.6 && revisions.containsKey(key);
+                    put(client, name, at, key, compares ? revisions.get(key) : null, revisions);
                 }
                 Thread.sleep((long) Math.min(2000, dice.exponential(1000 / rate)));
             }
@@ -91,16 +92,17 @@
         }
     }
 
-    private void change(HttpClient client, String name, String at, String key, Long compared, Map<String, Long> seen)
-            throws InterruptedException {
-        String value = "v" + values.incrementAndGet();
+    private void put(HttpClient client, String name, String at, String key, Long expectedRevision,
+            Map<String, Long> revisions) throws InterruptedException {
+        String value = "v" + valueCount.incrementAndGet();
         Map<String, Object> facts = new HashMap<>(Map.of("key", key, "value", value, "at", at));
-        if (compared != null) {
-            facts.put("if_rev", compared);
+        if (expectedRevision != null) {
+            facts.put("if_rev", expectedRevision);
         }
-        String body = Json.encode(Map.of("endpoint", "127.0.0.1:1", "az", "z", "model", value, "lease_ms", plan.leaseMs()));
+        String body = Json.encode(Map.of("endpoint", "127.0.0.1:1", "az", "z", "model", value, "lease_ms",
+                plan.leaseMillis()));
         HttpRequest request = HttpRequest.newBuilder(URI.create("http://" + at + "/v1/entries/" + key
-                + (compared == null ? "" : "?if_rev=" + compared))).timeout(WITHIN)
+                + (expectedRevision == null ? "" : "?if_rev=" + expectedRevision))).timeout(CALL_TIMEOUT)
                 .PUT(HttpRequest.BodyPublishers.ofString(body)).build();
         long start = History.now();
         long end = History.NEVER;
@@ -112,7 +114,7 @@
                 end = History.now();
                 facts.put("ok", status == 200);
                 long rev = ((Number) Json.parse(answer.body()).get("rev")).longValue();
-                seen.put(key, rev);
+                revisions.put(key, rev);
                 if (status == 200) {
                     facts.put("rev", rev);
                 }
@@ -126,13 +128,13 @@
         } catch (IOException | IllegalArgumentException e) {
             facts.put("error", String.valueOf(e.getMessage()));
         }
-        history.add(start, end, name, compared == null ? "put" : "cas", facts);
+        history.add(start, end, name, expectedRevision == null ? "put" : "cas", facts);
     }
 
-    private boolean read(HttpClient client, String name, String at, String key, Map<String, Long> seen, String op)
+    private boolean read(HttpClient client, String name, String at, String key, Map<String, Long> revisions, String op)
             throws InterruptedException {
-        HttpRequest request = HttpRequest.newBuilder(URI.create("http://" + at + "/v1/entries/" + key)).timeout(WITHIN)
-                .build();
+        HttpRequest request = HttpRequest.newBuilder(URI.create("http://" + at + "/v1/entries/" + key))
+                .timeout(CALL_TIMEOUT).build();
         long start = History.now();
         try {
             HttpResponse<String> answer = client.send(request, HttpResponse.BodyHandlers.ofString());
@@ -144,7 +146,7 @@
             facts.put("value", entry.get("model"));
             facts.put("rev", entry.getOrDefault("rev", 0L));
             if (entry.get("rev") instanceof Number rev) {
-                seen.put(key, rev.longValue());
+                revisions.put(key, rev.longValue());
             }
             history.add(start, History.now(), name, op, facts);
             return true;
@@ -155,13 +157,14 @@
 
     /** Records the final value of each entry and the final list of each replica. Throws IllegalStateException if a
         replica does not answer although all faults have ended. */
-    void readLast() throws InterruptedException {
-        HttpClient client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).connectTimeout(WITHIN).build();
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(60);
+    void readFinalState() throws InterruptedException {
+        HttpClient client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).connectTimeout(CALL_TIMEOUT)
+                .build();
+        long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(60);
         for (int i = 0; i < plan.entries(); i++) {
             int turn = 0;
             while (!read(client, "rig", replicas.get(turn++ % replicas.size()), "entry-" + i, new HashMap<>(), "final")) {
-                if (System.nanoTime() > end) {
+                if (System.nanoTime() > deadline) {
                     throw new IllegalStateException("the list service does not answer although all faults have ended");
                 }
                 Thread.sleep(50);
@@ -170,15 +173,15 @@
         for (String at : replicas) {
             try {
                 String list = client.send(HttpRequest.newBuilder(URI.create("http://" + at + "/v1/endpoints"))
-                        .timeout(WITHIN).build(), HttpResponse.BodyHandlers.ofString()).body();
-                told("replica " + at, list);
+                        .timeout(CALL_TIMEOUT).build(), HttpResponse.BodyHandlers.ofString()).body();
+                recordLine("replica " + at, list);
             } catch (IOException e) {
                 throw new IllegalStateException("replica " + at + " does not answer although all faults have ended", e);
             }
         }
     }
 
-    private void told(String by, String line) {
+    private void recordLine(String by, String line) {
         Map<String, Object> list = Json.parse(line);
         Map<String, Object> values = new HashMap<>();
         for (Object each : (List<?>) list.get("targets")) {
@@ -192,7 +195,7 @@
 
     @Override
     public void close() {
-        over = true;
+        stopped = true;
         threads.forEach(Thread::interrupt);
         loop.submit(() -> watchers.forEach(Watcher::stop)).syncUninterruptibly();
     }
@@ -203,7 +206,7 @@
         private final String name;
         private final Dice dice;
         private final Backoff backoff;
-        private LineStreamClient follow;
+        private LineStreamClient stream;
         private long rev;
         private boolean stopped;
 
@@ -213,28 +216,28 @@
             backoff = new Backoff(20, 500, dice::unit);
         }
 
-        void follow() {
+        void connect() {
             if (stopped) {
                 return;
             }
             InetSocketAddress at = HttpServer.parseAddress(replicas.get(dice.below(replicas.size())));
-            follow = LineStreamClient.open(loop, at, "/v1/endpoints?watch=1&from=" + rev,
-                    Map.of("X-Least-Revision", Long.toString(rev)), 1000, SILENCE_MILLIS, this::take,
-                    cause -> loop.schedule(this::follow, backoff.next(), TimeUnit.MILLISECONDS));
+            stream = LineStreamClient.open(loop, at, "/v1/endpoints?watch=1&from=" + rev,
+                    Map.of("X-Least-Revision", Long.toString(rev)), 1000, WATCH_SILENCE_MILLIS, this::onLine,
+                    cause -> loop.schedule(this::connect, backoff.next(), TimeUnit.MILLISECONDS));
         }
 
-        private void take(String line) {
+        private void onLine(String line) {
             if (!line.isBlank()) {
                 backoff.reset();
-                told(name, line);
+                recordLine(name, line);
                 rev = ((Number) Json.parse(line).get("rev")).longValue();
             }
         }
 
         void stop() {
             stopped = true;
-            if (follow != null) {
-                follow.cancel();
+            if (stream != null) {
+                stream.cancel();
             }
         }
     }
--- a/rig/src/main/java/mastdrift/rig/Report.java
+++ b/rig/src/main/java/mastdrift/rig/Report.java
@@ -23,30 +23,30 @@
 
     /** Writes the page of all runs in the folder; throws IOException if there are none. */
     static void write(Path folder, Path page) throws IOException {
-        List<Path> plays;
+        List<Path> histories;
         try (Stream<Path> all = Files.list(folder)) {
-            plays = all.map(each -> each.resolve("history.jsonl")).filter(Files::exists).sorted(
+            histories = all.map(each -> each.resolve("history.jsonl")).filter(Files::exists).sorted(
                     java.util.Comparator.comparingLong(Report::seed)).toList();
         }
-        if (plays.isEmpty()) {
+        if (histories.isEmpty()) {
             throw new IOException("no history.jsonl of a run in " + folder);
         }
-        List<String> shown = new ArrayList<>();
-        for (Path play : plays) {
-            shown.add(Json.encode(summary(History.read(play))).replace("</", "<\\/"));
+        List<String> summaries = new ArrayList<>();
+        for (Path history : histories) {
+            summaries.add(Json.encode(summary(History.read(history))).replace("</", "<\\/"));
         }
-        page("/rig.html", shown, page);
+        writePage("/rig.html", summaries, page);
     }
 
     /** Writes the page of the list service's benchmark; {@code figures} has a JSON object for each size. */
-    static void crowd(List<String> figures, Path page) throws IOException {
-        page("/crowd.html", figures, page);
+    static void writeBenchmark(List<String> figures, Path page) throws IOException {
+        writePage("/crowd.html", figures, page);
     }
 
-    private static void page(String template, List<String> plays, Path page) throws IOException {
+    private static void writePage(String template, List<String> data, Path page) throws IOException {
         String html = resource(template).replace("/*UPLOT_CSS*/", resource(UPLOT + "uPlot.min.css"))
                 .replace("/*UPLOT_JS*/", resource(UPLOT + "uPlot.iife.min.js"))
-                .replace("/*PLAYS*/", String.join(",\n", plays));
+                .replace("/*PLAYS*/", String.join(",\n", data));
         Files.writeString(page, html, StandardCharsets.UTF_8);
     }
 
@@ -58,14 +58,14 @@
     /** What the page shows of one run; times are seconds from the start of the load. */
     private static Map<String, Object> summary(History history) {
         History.Event began = history.events("began").get(0);
-        Map<String, Object> play = new LinkedHashMap<>(began.facts());
-        history.events("verdicts").forEach(event -> play.putAll(event.facts()));
-        play.put("faults", bands(history.events("fault"), began.start()));
-        List<History.Event> held = new ArrayList<>(history.events("view"));
-        held.addAll(history.events("granted"));
-        play.put("held", bands(held, began.start()));
-        play.put("windows", windows(history.events("request"), began));
-        return play;
+        Map<String, Object> run = new LinkedHashMap<>(began.facts());
+        history.events("verdicts").forEach(event -> run.putAll(event.facts()));
+        run.put("faults", bands(history.events("fault"), began.start()));
+        List<History.Event> duties = new ArrayList<>(history.events("view"));
+        duties.addAll(history.events("granted"));
+        run.put("held", bands(duties, began.start()));
+        run.put("windows", windows(history.events("request"), began));
+        return run;
     }
 
     private static List<Map<String, Object>> bands(List<History.Event> events, long zero) {
@@ -75,7 +75,7 @@
             band.put("by", event.by());
             band.put("op", event.op());
             band.put("from", (event.start() - zero) / 1e6);
-            band.put("to", event.known() ? (event.end() - zero) / 1e6 : null);
+            band.put("to", event.isKnown() ? (event.end() - zero) / 1e6 : null);
             bands.add(band);
         }
         return bands;
@@ -91,7 +91,7 @@
             long micros = request.end() - request.start();
             if (outcome.equals("served")) {
                 times.computeIfAbsent(second, s -> new Histogram(60_000_000L, 3)).recordValue(Math.min(micros, 60_000_000L));
-                outcome = micros > Load.DEADLINE_MILLIS * 1000L ? "late" : "served";
+                outcome = micros > LoadGenerator.DEADLINE_MILLIS * 1000L ? "late" : "served";
             } else if (!outcome.equals("refused")) {
                 outcome = "failed";
             }
--- a/rig/src/main/java/mastdrift/rig/Rig.java
+++ b/rig/src/main/java/mastdrift/rig/Rig.java
@@ -29,8 +29,8 @@
 /** The rig's commands. Exit status: 0 if every check held, 1 if one was broken, 2 for misuse or a run that failed. */
 @Command(name = "rig", mixinStandardHelpOptions = true, version = "0.1.0", synopsisSubcommandLabel = "COMMAND",
         description = "Runs processes of the program under injected faults, and checks what they did.",
-        subcommands = {Rig.Run.class, Rig.Soak.class, Rig.MakeReport.class, Rig.Shrink.class, Rig.MakeCrowd.class,
-                Rig.MakeTakeover.class, CommandLine.HelpCommand.class})
+        subcommands = {Rig.Run.class, Rig.Soak.class, Rig.ReportCommand.class, Rig.Shrink.class, Rig.CrowdCommand.class,
+                Rig.TakeoverCommand.class, CommandLine.HelpCommand.class})
 public final class Rig implements Runnable {
 
     static final int HELD = 0;
@@ -49,9 +49,11 @@
     /** As {@link #main}, on the given streams; returns the exit status. */
     static int run(String[] args, PrintWriter out, PrintWriter err) {
         return new CommandLine(new Rig()).setOut(out).setErr(err)
-                .setExecutionExceptionHandler((fault, command, parsed) -> {
-                    command.getErr().println(fault instanceof TomlFile.ValidationException || fault instanceof IOException
-                            || fault instanceof IllegalStateException ? fault.getMessage() : fault.toString());
+                .setExecutionExceptionHandler((exception, command, parseResult) -> {
+                    command.getErr().println(exception instanceof TomlFile.ValidationException
+                            || exception instanceof IOException
+                            || exception instanceof IllegalStateException ? exception.getMessage()
+                            : exception.toString());
                     return MISUSED;
                 }).execute(args);
     }
@@ -62,20 +64,20 @@
     }
 
     /** The arguments of the commands that run a plan. */
-    abstract static class Playing implements Callable<Integer> {
+    abstract static class PlanCommand implements Callable<Integer> {
 
         @Parameters(index = "0", arity = "0..1", paramLabel = "PLAN", description = "the plan, a TOML file")
-        private Path file;
+        private Path planFile;
 
         @Option(names = "--out", paramLabel = "DIR", defaultValue = "target/rig",
                 description = "where logs, histories and results go (default: ${DEFAULT-VALUE})")
-        private Path out;
+        private Path outputFolder;
 
         @Option(names = "--root", paramLabel = "DIR", defaultValue = ".",
                 description = "the project's folder, with the program built (default: the current folder)")
         private Path root;
 
-        @Option(names = "--broken", paramLabel = "NAME", defaultValue = Variants.NONE,
+        @Option(names = "--broken", paramLabel = "NAME", defaultValue = BrokenVariants.NONE,
                 description = "runs a variant of the program that is broken on purpose, and has to end with status 1")
         private String variant;
 
@@ -83,11 +85,11 @@
         private CommandSpec spec;
 
         RigPlan plan() throws TomlFile.ValidationException, IOException {
-            if (!variant.equals(Variants.NONE) && !Variants.ALL.contains(variant)) {
+            if (!variant.equals(BrokenVariants.NONE) && !BrokenVariants.ALL.contains(variant)) {
                 throw new CommandLine.ParameterException(spec.commandLine(), "--broken: expected one of "
-                        + String.join(", ", Variants.ALL) + ", not " + variant);
+                        + String.join(", ", BrokenVariants.ALL) + ", not " + variant);
             }
-            RigPlan plan = PlanFile.read(file == null ? usualPlan() : file);
+            RigPlan plan = PlanFile.read(planFile == null ? defaultPlan() : planFile);
             if (plan.gateways().count() > 0 && !Files.exists(root.resolve("target/mastdrift.jsa"))) {
                 throw new IllegalStateException(root.resolve("target/mastdrift.jsa")
                         + " is missing: run the deploy file's build first");
@@ -96,7 +98,7 @@
         }
 
         /** The plan to run if none is named on the command line. */
-        Path usualPlan() {
+        Path defaultPlan() {
             throw new CommandLine.ParameterException(spec.commandLine(), "Missing required parameter: 'PLAN'");
         }
 
@@ -104,73 +106,77 @@
             return root;
         }
 
-        Path out() {
-            return out.toAbsolutePath();
+        Path outputFolder() {
+            return outputFolder.toAbsolutePath();
         }
 
-        PrintWriter print() {
+        PrintWriter output() {
             return spec.commandLine().getOut();
         }
 
-        Play.Outcome play(RigPlan plan, long seed, List<Fault> faults, int lane) throws IOException, InterruptedException {
-            return Play.of(plan, seed, faults, new Stage.Setting(root.toAbsolutePath().normalize(), true, variant),
-                    lane, folder(seed));
+        TestRun.Result execute(RigPlan plan, long seed, List<Fault> faults, int slot) throws IOException,
+                InterruptedException {
+            return TestRun.run(plan, seed, faults, new TestBed.Options(root.toAbsolutePath().normalize(), true,
+                    variant), slot, folder(seed));
         }
 
         Path folder(long seed) {
-            return out().resolve("seed-" + seed);
+            return outputFolder().resolve("seed-" + seed);
         }
     }
 
     @Command(name = "run", mixinStandardHelpOptions = true, description = "Runs a plan with each seed.")
-    static class Run extends Playing {
+    static class Run extends PlanCommand {
 
         @Option(names = "--seeds", paramLabel = "SEEDS", defaultValue = "1", converter = Lab.Seeds.class,
                 description = "like 3, 1..8 or 1,5,9..12 (default: ${DEFAULT-VALUE})")
         private List<Long> seeds;
 
         @Option(names = "--jobs", paramLabel = "N", defaultValue = "1",
-                description = "runs in parallel (default: ${DEFAULT-VALUE}); latencies are only meaningful with one at a time")
+                description = "runs in parallel (default: ${DEFAULT-VALUE}); latencies only count with one at a time")
         private int jobs;
 
-        private synchronized void tell(Play.Outcome outcome, Path results) throws IOException {
-            Play.append(results, outcome);
-            print().println("seed " + outcome.seed() + ": " + (outcome.held() ? "held" : "BROKEN") + "  " + outcome.figures());
-            outcome.verdicts().stream().filter(verdict -> !verdict.held()).forEach(verdict -> print().println("  " + verdict));
+        private synchronized void report(TestRun.Result result, Path results) throws IOException {
+            TestRun.append(results, result);
+            output().println("seed " + result.seed() + ": " + (result.held() ? "held" : "BROKEN") + "  "
+                    + result.figures());
+            result.verdicts().stream().filter(verdict -> !verdict.held())
+                    .forEach(verdict -> output().println("  " + verdict));
         }
 
         @Override
         public Integer call() throws Exception {
             RigPlan plan = plan();
-            Files.createDirectories(out());
-            Path results = out().resolve("results.jsonl");
+            Files.createDirectories(outputFolder());
+            Path results = outputFolder().resolve("results.jsonl");
             Files.deleteIfExists(results);
-            AtomicInteger broken = new AtomicInteger();
-            AtomicInteger unplayed = new AtomicInteger();
-            BlockingQueue<Integer> lanes = new LinkedBlockingQueue<>();
-            for (int lane = 0; lane < jobs; lane++) {
-                lanes.add(lane);
+            AtomicInteger brokenSeeds = new AtomicInteger();
+            AtomicInteger failedSeeds = new AtomicInteger();
+            BlockingQueue<Integer> slots = new LinkedBlockingQueue<>();
+            for (int slot = 0; slot < jobs; slot++) {
+                slots.add(slot);
             }
             ExecutorService pool = Executors.newFixedThreadPool(jobs);
-            List<Future<?>> plays = new ArrayList<>();
+            List<Future<?>> runs = new ArrayList<>();
             for (long seed : seeds) {
-                plays.add(pool.submit(() -> {
-                    int lane = lanes.take();
+                runs.add(pool.submit(() -> {
+                    int slot = slots.take();
                     try {
-                        Play.Outcome outcome = play(plan, seed, Draw.faults(plan, Stage.names(plan), seed), lane);
-                        broken.addAndGet(outcome.held() ? 0 : 1);
-                        tell(outcome, results);
+                        TestRun.Result result = execute(plan, seed,
+                                FaultSchedule.draw(plan, TestBed.names(plan), seed), slot);
+                        brokenSeeds.addAndGet(result.held() ? 0 : 1);
+                        report(result, results);
                     } catch (IOException | IllegalStateException e) {
-                        unplayed.incrementAndGet();
-                        print().println("seed " + seed + ": COULD NOT BE PLAYED  " + e.getMessage());
+                        failedSeeds.incrementAndGet();
+                        output().println("seed " + seed + ": COULD NOT BE PLAYED  " + e.getMessage());
                     } finally {
-                        lanes.add(lane);
+                        slots.add(slot);
                     }
                     return null;
                 }));
             }
             try {
-                for (Future<?> each : plays) {
+                for (Future<?> each : runs) {
                     each.get();
                 }
             } catch (ExecutionException e) {
@@ -178,26 +184,27 @@
             } finally {
                 pool.shutdownNow();
             }
-            print().println(String.format(Locale.ROOT, "%d of %d seeds held%s; results in %s",
-                    seeds.size() - broken.get() - unplayed.get(), seeds.size(),
-                    unplayed.get() == 0 ? "" : ", " + unplayed + " could not be played", results));
-            return broken.get() > 0 ? BROKEN : unplayed.get() > 0 ? MISUSED : HELD;
+            output().println(String.format(Locale.ROOT, "%d of %d seeds held%s; results in %s",
+                    seeds.size() - brokenSeeds.get() - failedSeeds.get(), seeds.size(),
+                    failedSeeds.get() == 0 ? "" : ", " + failedSeeds + " could not be played", results));
+            return brokenSeeds.get() > 0 ? BROKEN : failedSeeds.get() > 0 ? MISUSED : HELD;
         }
     }
 
-    @Command(name = "soak", mixinStandardHelpOptions = true, description = "Runs gateways under all kinds of faults, which "
+    @Command(name = "soak", mixinStandardHelpOptions = true,
+            description = "Runs gateways under all kinds of faults, which "
             + "each seed draws from rig/plans/soak.toml, or from another plan.")
     static final class Soak extends Run {
 
         @Override
-        Path usualPlan() {
+        Path defaultPlan() {
             return root().resolve("rig/plans/soak.toml");
         }
     }
 
     @Command(name = "report", mixinStandardHelpOptions = true,
             description = "Writes one HTML page of the runs in a folder that 'run' wrote.")
-    static final class MakeReport implements Callable<Integer> {
+    static final class ReportCommand implements Callable<Integer> {
 
         @Parameters(index = "0", paramLabel = "DIR", description = "the folder given to 'run' by --out")
         private Path folder;
@@ -216,7 +223,7 @@
 
     @Command(name = "shrink", mixinStandardHelpOptions = true,
             description = "Removes one fault after the other, and prints those without which a seed no longer breaks.")
-    static final class Shrink extends Playing {
+    static final class Shrink extends PlanCommand {
 
         @Parameters(index = "1", paramLabel = "SEED")
         private long seed;
@@ -224,28 +231,29 @@
         @Override
         public Integer call() throws Exception {
             RigPlan plan = plan();
-            List<Fault> faults = Draw.faults(plan, Stage.names(plan), seed);
-            if (play(plan, seed, faults, 0).held()) {
-                print().println("seed " + seed + " holds: nothing to shrink");
+            List<Fault> faults = FaultSchedule.draw(plan, TestBed.names(plan), seed);
+            if (execute(plan, seed, faults, 0).held()) {
+                output().println("seed " + seed + " holds: nothing to shrink");
                 return HELD;
             }
             for (int i = faults.size() - 1; i >= 0; i--) {
-                List<Fault> fewer = new ArrayList<>(faults);
-                Fault left = fewer.remove(i);
-                boolean held = play(plan, seed, fewer, 0).held();
-                print().println((held ? "needed:   " : "left out: ") + left.facts());
-                faults = held ? faults : fewer;
+                List<Fault> reduced = new ArrayList<>(faults);
+                Fault removed = reduced.remove(i);
+                boolean held = execute(plan, seed, reduced, 0).held();
+                output().println((held ? "needed:   " : "left out: ") + removed.facts());
+                faults = held ? faults : reduced;
             }
-            print().println("still broken with " + faults.size() + " faults:");
-            faults.forEach(fault -> print().println("  " + fault.at() + " ms, " + fault.span() + " ms: " + fault.facts()));
+            output().println("still broken with " + faults.size() + " faults:");
+            faults.forEach(fault -> output().println("  " + fault.startMillis() + " ms, " + fault.durationMillis()
+                    + " ms: " + fault.facts()));
             return BROKEN;
         }
     }
 
     @Command(name = "crowd", mixinStandardHelpOptions = true,
-            description = "Measures the list service at each size: time until the last watcher has a change, memory, CPU, "
-                    + "a release.")
-    static final class MakeCrowd implements Callable<Integer> {
+            description = "Measures the list service at each size: time until the last watcher has a change, memory, "
+                    + "CPU, a release.")
+    static final class CrowdCommand implements Callable<Integer> {
 
         @Option(names = "--entries", paramLabel = "N", split = ",", defaultValue = "1000,10000",
                 description = "sizes of the list (default: ${DEFAULT-VALUE})")
@@ -257,7 +265,7 @@
 
         @Option(names = "--replaced", paramLabel = "N", defaultValue = "600",
                 description = "hosts that the release at the end replaces within 10 s (default: ${DEFAULT-VALUE})")
-        private int replaced;
+        private int replacedHosts;
 
         @Option(names = "--replicas", paramLabel = "N", defaultValue = "3",
                 description = "replicas of the list service (default: ${DEFAULT-VALUE})")
@@ -265,34 +273,36 @@
 
         @Option(names = "--out", paramLabel = "DIR", defaultValue = "target/crowd",
                 description = "where logs, figures and the page of plots go (default: ${DEFAULT-VALUE})")
-        private Path out;
+        private Path outputFolder;
 
         @Spec
         private CommandSpec spec;
 
         @Override
         public Integer call() throws Exception {
-            Files.createDirectories(out);
+            Files.createDirectories(outputFolder);
             List<String> lines = new ArrayList<>();
-            for (int size : entries) {
-                for (int open : watches) {
-                    try (Crowd crowd = new Crowd(size, open, replaced, replicas, Path.of("").toAbsolutePath(),
-                            out.toAbsolutePath().resolve(size + "x" + open))) {
-                        lines.add(Json.encode(crowd.play()));
+            for (int entryCount : entries) {
+                for (int watchCount : watches) {
+                    try (RegistryBenchmark benchmark = new RegistryBenchmark(entryCount, watchCount, replacedHosts,
+                            replicas, Path.of("").toAbsolutePath(),
+                            outputFolder.toAbsolutePath().resolve(entryCount + "x" + watchCount))) {
+                        lines.add(Json.encode(benchmark.run()));
                     }
                     spec.commandLine().getOut().println(lines.get(lines.size() - 1));
                 }
             }
-            Files.write(out.resolve("crowd.jsonl"), lines);
-            Report.crowd(lines, out.resolve("crowd.html"));
-            spec.commandLine().getOut().println(out.resolve("crowd.html"));
+            Files.write(outputFolder.resolve("crowd.jsonl"), lines);
+            Report.writeBenchmark(lines, outputFolder.resolve("crowd.html"));
+            spec.commandLine().getOut().println(outputFolder.resolve("crowd.html"));
             return HELD;
         }
     }
 
     @Command(name = "takeover", mixinStandardHelpOptions = true,
-            description = "Measures how long a duty has no holder after its holder is killed or stopped, and the cost of leases.")
-    static final class MakeTakeover implements Callable<Integer> {
+            description = "Measures how long a duty has no holder after its holder is killed or stopped, and the cost "
+                    + "of leases.")
+    static final class TakeoverCommand implements Callable<Integer> {
 
         @Option(names = "--kills", paramLabel = "N", defaultValue = "50",
                 description = "holders to kill (default: ${DEFAULT-VALUE})")
@@ -308,23 +318,24 @@
 
         @Option(names = "--term-ms", paramLabel = "MILLIS", defaultValue = "3000",
                 description = "the duty's lease term (default: ${DEFAULT-VALUE})")
-        private long term;
+        private long termMillis;
 
         @Option(names = "--out", paramLabel = "DIR", defaultValue = "target/takeover",
                 description = "where logs go (default: ${DEFAULT-VALUE})")
-        private Path out;
+        private Path outputFolder;
 
         @Spec
         private CommandSpec spec;
 
         @Override
         public Integer call() throws Exception {
-            PrintWriter print = spec.commandLine().getOut();
-            try (Takeover takeover = new Takeover(3, term, Path.of("").toAbsolutePath(), out.toAbsolutePath())) {
-                takeover.start();
-                print.println(Json.encode(takeover.end(kills, true)));
-                print.println(Json.encode(takeover.end(stops, false)));
-                print.println(Json.encode(takeover.leases(leases, 10_000, 30)));
+            PrintWriter output = spec.commandLine().getOut();
+            try (TakeoverBenchmark benchmark = new TakeoverBenchmark(3, termMillis, Path.of("").toAbsolutePath(),
+                    outputFolder.toAbsolutePath())) {
+                benchmark.start();
+                output.println(Json.encode(benchmark.measureTakeovers(kills, true)));
+                output.println(Json.encode(benchmark.measureTakeovers(stops, false)));
+                output.println(Json.encode(benchmark.measureLeases(leases, 10_000, 30)));
             }
             return HELD;
         }
--- a/rig/src/main/java/mastdrift/rig/RollCheck.java
+++ b/rig/src/main/java/mastdrift/rig/RollCheck.java
@@ -11,27 +11,29 @@
     reported standby, {@code recorded} are from a replica's log. */
 final class RollCheck implements Check {
 
-    private static final long APART = 1_000_000;  // reports of standby closer than this are one period out of service
+    // Reports of standby closer than this are one period out of service.
+    private static final long NEW_STANDBY_GAP_MICROS = 1_000_000;
 
     @Override
-    public Verdict look(History history) {
+    public Verdict evaluate(History history) {
         List<String> breaches = new ArrayList<>();
         List<Event> ends = history.events("roll");
         if (ends.isEmpty() || !ends.get(0).text("phase").equals("done") && !ends.get(0).text("phase").equals("aborted")) {
             breaches.add("the roll did not end: " + (ends.isEmpty() ? "nobody knows" : ends.get(0).text("phase")));
         }
-        Map<String, Long> since = new HashMap<>();
-        Map<String, Long> last = new HashMap<>();
+        Map<String, Long> standbySince = new HashMap<>();
+        Map<String, Long> lastSeen = new HashMap<>();
         for (Event event : history.events("standby")) {
-            if (event.start() - last.getOrDefault(event.by(), Long.MIN_VALUE / 2) > APART) {
-                since.put(event.by(), event.start());
+            if (event.start() - lastSeen.getOrDefault(event.by(), Long.MIN_VALUE / 2) > NEW_STANDBY_GAP_MICROS) {
+                standbySince.put(event.by(), event.start());
             }
-            last.put(event.by(), event.start());
-            last.forEach((other, at) -> {
+            lastSeen.put(event.by(), event.start());
+            lastSeen.forEach((other, at) -> {
                 // They overlap if the one that went out first still reports standby after the other has begun to.
-                boolean first = since.get(event.by()) < since.getOrDefault(other, Long.MAX_VALUE);
-                boolean both = first ? event.start() > since.get(other) : at > since.get(event.by());
-                if (!other.equals(event.by()) && both) {
+                boolean wentFirst = standbySince.get(event.by()) < standbySince.getOrDefault(other, Long.MAX_VALUE);
+                boolean overlaps = wentFirst ? event.start() > standbySince.get(other)
+                        : at > standbySince.get(event.by());
+                if (!other.equals(event.by()) && overlaps) {
                     breaches.add(other + " and " + event.by() + " were out at once");
                 }
             });
--- a/rig/src/main/java/mastdrift/rig/RunDelays.java
+++ b/rig/src/main/java/mastdrift/rig/RunDelaySampler.java
@@ -17,54 +17,56 @@
 
 /** Samples how long threads of processes were runnable but waited for a core, from the kernel's schedstat, so that
     checkers can tell a process that was starved by the machine from one that was slow itself. */
-final class RunDelays implements AutoCloseable {
+final class RunDelaySampler implements AutoCloseable {
 
     /** The op of its events in the history, whose facts are microseconds by thread. */
     static final String OP = "run_delay";
-    private static final int EVERY_MILLIS = 50;
-    private static final long LEAST_MICROS = 1000;  // shorter waits are usual
+    private static final int SAMPLE_INTERVAL_MILLIS = 50;
+    private static final long MIN_RECORDED_MICROS = 1000;  // shorter waits are usual
 
     private final Supplier<Map<String, Long>> processes;
     private final History history;
-    private final Map<String, Long> sums = new HashMap<>();  // microseconds up to the last sample, by process and thread
-    private final ScheduledExecutorService thread = Executors.newSingleThreadScheduledExecutor(task -> {
+    // Microseconds up to the last sample, by process and thread.
+    private final Map<String, Long> totalsByThread = new HashMap<>();
+    private final ScheduledExecutorService executor = Executors.newSingleThreadScheduledExecutor(task -> {
         Thread made = new Thread(task, "run-delays");
         made.setDaemon(true);
         return made;
     });
-    private long lookedAt = History.now();
+    private long sampledAt = History.now();
 
     /** {@code processes} gives the names and ids of the processes, and is asked at each sample. */
-    RunDelays(Supplier<Map<String, Long>> processes, History history) {
+    RunDelaySampler(Supplier<Map<String, Long>> processes, History history) {
         this.processes = processes;
         this.history = history;
-        look();
-        thread.scheduleWithFixedDelay(this::look, EVERY_MILLIS, EVERY_MILLIS, TimeUnit.MILLISECONDS);
+        sample();
+        executor.scheduleWithFixedDelay(this::sample, SAMPLE_INTERVAL_MILLIS, SAMPLE_INTERVAL_MILLIS,
+                TimeUnit.MILLISECONDS);
     }
 
-    private void look() {
+    private void sample() {
         long now = History.now();
-        processes.get().forEach((name, pid) -> look(name, pid, now));
-        lookedAt = now;
+        processes.get().forEach((name, pid) -> sample(name, pid, now));
+        sampledAt = now;
     }
 
-    private void look(String name, long pid, long now) {
-        Map<String, Object> waited = new HashMap<>();
+    private void sample(String name, long pid, long now) {
+        Map<String, Object> waits = new HashMap<>();
         try (DirectoryStream<Path> threads = Files.newDirectoryStream(Path.of("/proc", Long.toString(pid), "task"))) {
             for (Path each : threads) {
                 String id = pid + "/" + each.getFileName();
-                long sum = micros(Files.readString(each.resolve("schedstat"), StandardCharsets.US_ASCII));
-                long since = sum - sums.getOrDefault(id, 0L);
-                sums.put(id, sum);
-                if (since >= LEAST_MICROS) {
-                    waited.put(id, since);
+                long total = micros(Files.readString(each.resolve("schedstat"), StandardCharsets.US_ASCII));
+                long added = total - totalsByThread.getOrDefault(id, 0L);
+                totalsByThread.put(id, total);
+                if (added >= MIN_RECORDED_MICROS) {
+                    waits.put(id, added);
                 }
             }
         } catch (IOException | DirectoryIteratorException | IllegalArgumentException ended) {
             return;  // the process or the thread has ended, or the kernel has no schedstat
         }
-        if (!waited.isEmpty()) {
-            history.add(lookedAt, now, name, OP, waited);
+        if (!waits.isEmpty()) {
+            history.add(sampledAt, now, name, OP, waits);
         }
     }
 
@@ -74,7 +76,7 @@
     }
 
     /** The wait of the process's longest waiting thread between two moments, in microseconds. */
-    static long longest(List<Event> delays, String process, long from, long to) {
+    static long longestWait(List<Event> delays, String process, long from, long to) {
         Map<String, Long> byThread = new HashMap<>();
         for (Event delay : delays) {
             if (delay.by().equals(process) && delay.start() <= to && delay.end() >= from) {
@@ -86,9 +88,9 @@
 
     @Override
     public void close() {
-        thread.shutdownNow();
+        executor.shutdownNow();
         try {
-            thread.awaitTermination(1, TimeUnit.MINUTES);
+            executor.awaitTermination(1, TimeUnit.MINUTES);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/rig/src/main/java/mastdrift/rig/StandInHost.java
+++ b/rig/src/main/java/mastdrift/rig/StandInHost.java
@@ -31,10 +31,10 @@
     the protocol of hosts and records each request that it starts; it exits when its standard input is closed. */
 public final class StandInHost {
 
-    private static final int CHOKE_AT = 7;
+    private static final int CONGESTION_REQUESTS_PER_CORE = 7;
     private static final int TICK_MILLIS = 5;
-    private static final int WARM_CALLS = 400;
-    private static final String WARMING = "warming-";
+    private static final int WARM_UP_CALLS = 400;
+    private static final String WARM_UP_PREFIX = "warming-";
 
     private final EventLoop loop;
     private final Agenda agenda = new Agenda();
@@ -44,7 +44,7 @@
     private final Range workMs;
     private final String name;
     private final BufferedWriter events;
-    private long plan;
+    private long wakeUpNumber;
 
     private StandInHost(EventLoop loop, String name, int cores, Range workMs, long seed, boolean cold, Path events)
             throws IOException {
@@ -55,10 +55,11 @@
                 StandardOpenOption.APPEND);
         dice = new Dice(seed, name);
         machine = new Machine(new Machine.Build(name, "", 0, "std", cores, 1, 8 * cores, 20 * cores, 0.5, 3_000_000, 0,
-                600 * cores, CHOKE_AT, 1_500_000, 2, 0.4, 2_000_000, 0.3, 12 * cores), agenda, dice);
+                600 * cores, CONGESTION_REQUESTS_PER_CORE, 1_500_000, 2, 0.4, 2_000_000, 0.3, 12 * cores), agenda,
+                dice);
         machine.fallsAt(4, 1_000_000);
         machine.fell = part -> {
-            write("fell", "part", part);
+            record("fell", "part", part);
             machine.start();
         };
         if (cold) {
@@ -74,9 +75,9 @@
         StandInHost host = new StandInHost(loop, args[0], Integer.parseInt(args[2]),
                 new Range(Double.parseDouble(args[3]), Double.parseDouble(args[4])), Long.parseLong(args[5]),
                 Boolean.parseBoolean(args[6]), Path.of(args[7]));
-        warm(loop, host, args[1].substring(0, args[1].lastIndexOf(':')));
+        warmUp(loop, host, args[1].substring(0, args[1].lastIndexOf(':')));
         HttpServer.listen(loop, HttpServer.parseAddress(args[1]), host::handle);
-        loop.scheduleWithFixedDelay(host::turn, TICK_MILLIS, TICK_MILLIS, TimeUnit.MILLISECONDS);
+        loop.scheduleWithFixedDelay(host::runDueEvents, TICK_MILLIS, TICK_MILLIS, TimeUnit.MILLISECONDS);
         System.out.println("listening on " + args[1]);
         BufferedReader in = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8));
         for (String line = in.readLine(); line != null; line = in.readLine()) {
@@ -89,97 +90,97 @@
 
     /** Sends requests to itself at another port until the virtual machine has compiled the code, so that latencies are
         those of the gateways. These requests have a prefix in their ids and are not recorded. */
-    private static void warm(EventLoop loop, StandInHost host, String address) throws IOException {
-        try (HttpServer own = HttpServer.listen(loop, new InetSocketAddress(address, 0), host::handle)) {
-            for (int i = 0; i < WARM_CALLS; i++) {
-                HttpURLConnection call = (HttpURLConnection) URI.create("http://" + address + ":" + own.port() + "/api").toURL()
-                        .openConnection();
-                call.setRequestProperty("X-Trace-Id", WARMING + i);
+    private static void warmUp(EventLoop loop, StandInHost host, String address) throws IOException {
+        try (HttpServer server = HttpServer.listen(loop, new InetSocketAddress(address, 0), host::handle)) {
+            for (int i = 0; i < WARM_UP_CALLS; i++) {
+                HttpURLConnection call = (HttpURLConnection) URI.create("http://" + address + ":" + server.port()
+                        + "/api").toURL().openConnection();
+                call.setRequestProperty("X-Trace-Id", WARM_UP_PREFIX + i);
                 call.getInputStream().readAllBytes();
             }
         }
     }
 
     /** Runs the model's events that are due, and schedules itself for the next. */
-    private void turn() {
+    private void runDueEvents() {
         agenda.runUntil(System.nanoTime() / 1000 - startedAt);
         long next = agenda.next();
         if (next != Long.MAX_VALUE) {
-            long mine = ++plan;
+            long number = ++wakeUpNumber;
             loop.schedule(() -> {
-                if (mine == plan) {
-                    turn();
+                if (number == wakeUpNumber) {
+                    runDueEvents();
                 }
             }, Math.max(0, next - agenda.now()), TimeUnit.MICROSECONDS);
         }
     }
 
     private void handle(HttpServer.Exchange call) {
-        turn();
+        runDueEvents();
         switch (call.path()) {
             case "/health" -> call.respond(200, "text/plain", "well\n");
-            case "/status/load" -> call.respond(200, "text/plain", load());
-            default -> request(call);
+            case "/status/load" -> call.respond(200, "text/plain", loadReport());
+            default -> handleRequest(call);
         }
-        turn();
+        runDueEvents();
     }
 
-    private String load() {
+    private String loadReport() {
         return String.format(Locale.ROOT, "TEXT rps=%d, waiting=%d, cpu=%.2f", machine.held(), machine.waitingNow(),
                 machine.busy());
     }
 
-    private void request(HttpServer.Exchange call) {
+    private void handleRequest(HttpServer.Exchange call) {
         String trace = call.header("X-Trace-Id");
         if (trace == null) {
             call.respond(404, "text/plain", "no id\n");
             return;
         }
         long key = call.header("Idempotency-Key") == null ? trace.hashCode() : call.header("Idempotency-Key").hashCode();
-        boolean refused = machine.leaving;
-        long[] begun = {System.nanoTime() / 1000};
-        double work = trace.startsWith(WARMING) ? 1 : dice.in(workMs) * 1000 * dice.noise(1);
+        boolean draining = machine.leaving;
+        long[] beganAt = {System.nanoTime() / 1000};
+        double work = trace.startsWith(WARM_UP_PREFIX) ? 1 : dice.in(workMs) * 1000 * dice.noise(1);
         Machine.Job job = new Machine.Job(key, work, outcome -> {
             switch (outcome) {
-                case DELIVERED -> call.respond(200, "text/plain", body(trace));
+                case DELIVERED -> call.respond(200, "text/plain", responseBody(trace));
                 case SHED -> call.respond(503, "text/plain", "full\n", "X-Never-Ran", "1");
                 default -> call.channel().close();
             }
             if (outcome == Outcome.SHED) {
-                begun[0] = 0;
+                beganAt[0] = 0;
             }
         });
         call.channel().closeFuture().addListener(ended -> job.drop(true));
         machine.arrive(job, true);
-        if (begun[0] != 0) {
-            write("begin", "trace", trace, "key", call.header("Idempotency-Key"), "leaving", refused);
+        if (beganAt[0] != 0) {
+            record("begin", "trace", trace, "key", call.header("Idempotency-Key"), "leaving", draining);
         } else {
-            write("shed", "trace", trace, "leaving", refused);
+            record("shed", "trace", trace, "leaving", draining);
         }
     }
 
     /** The response body for the request with that id, by which the client knows that the response is its own. */
-    static String body(String trace) {
+    static String responseBody(String trace) {
         return "done " + trace;
     }
 
-    private void write(String op, Object... facts) {
-        if (facts[1].toString().startsWith(WARMING)) {
+    private void record(String op, Object... facts) {
+        if (facts[1].toString().startsWith(WARM_UP_PREFIX)) {
             return;
         }
-        Map<String, Object> all = new LinkedHashMap<>();
+        Map<String, Object> event = new LinkedHashMap<>();
         long now = System.nanoTime() / 1000;
-        all.put("start", now);
-        all.put("end", now);
-        all.put("by", name);
-        all.put("op", op);
+        event.put("start", now);
+        event.put("end", now);
+        event.put("by", name);
+        event.put("op", op);
         for (int i = 0; i < facts.length; i += 2) {
             if (facts[i + 1] != null) {
-                all.put(facts[i].toString(), facts[i + 1]);
+                event.put(facts[i].toString(), facts[i + 1]);
             }
         }
         try {
-            events.write(Json.encode(all) + "\n");
+            events.write(Json.encode(event) + "\n");
             events.flush();
         } catch (IOException e) {
             throw new UncheckedIOException(e);
--- a/rig/src/main/java/mastdrift/rig/SystemCall.java
+++ b/rig/src/main/java/mastdrift/rig/SystemCall.java
@@ -20,13 +20,13 @@
     enum Error {
         ECONNABORTED, EMFILE, ENFILE, ENOBUFS, ENOMEM, EPROTO, EINTR, EAGAIN, EADDRNOTAVAIL, ENETUNREACH, EHOSTUNREACH,
         ECONNREFUSED, ETIMEDOUT, ECONNRESET, EPIPE, EINVAL, ENOTCONN, EIO, ENOSPC,
-        /** Transfers at most as many bytes as the fault's size. */
+        /** Transfers at most as many bytes as the fault's magnitude. */
         SHORT,
         /** End of stream. */
         EOF,
-        /** Waits for the fault's size in milliseconds, then makes the call. */
+        /** Waits for the fault's magnitude in milliseconds, then makes the call. */
         DELAY,
-        /** The real-time clock is off by the fault's size in milliseconds. */
+        /** The real-time clock is off by the fault's magnitude in milliseconds. */
         STEP
     }
 
@@ -62,11 +62,11 @@
 
         private final Set<Error> errors;
 
-        Call(Error first, Error... others) {
-            errors = EnumSet.of(first, others);
+        Call(Error first, Error... more) {
+            errors = EnumSet.of(first, more);
         }
 
-        boolean fails(Error error) {
+        boolean supports(Error error) {
             return errors.contains(error);
         }
 
@@ -81,8 +81,8 @@
         return Arrays.stream(Error.values()).filter(error -> error.name().equals(name)).findAny().orElse(null);
     }
 
-    /** The rule as a line of the preloaded library's control file; the argument is the fault's size. */
-    String rule(long argument) {
+    /** The rule as a line of the preloaded library's control file; the argument is the fault's magnitude. */
+    String toRuleLine(long argument) {
         return String.join(" ", call.name().toLowerCase(Locale.ROOT), error.name(), Double.toString(rate),
                 side.name().toLowerCase(Locale.ROOT), Long.toString(argument));
     }
--- a/rig/src/main/java/mastdrift/rig/SystemCallFaults.java
+++ b/rig/src/main/java/mastdrift/rig/SystemCallFaults.java
@@ -23,7 +23,7 @@
     private final Path root;
     private final Path folder;
     private final long seed;
-    private final Map<String, List<Fault>> active = new HashMap<>();
+    private final Map<String, List<Fault>> activeFaults = new HashMap<>();
     private long generation;
 
     /** {@code root} is the project's folder; control files and logs go to {@code folder}. */
@@ -33,34 +33,34 @@
         this.seed = seed;
     }
 
-    /** The environment variables that a process needs. Throws IllegalStateException if the library can't be compiled.
-        */
+    /** The environment variables that a process needs. Throws IllegalStateException if the library can't be
+        compiled. */
     Map<String, String> environment(String name) throws IOException {
         Path library = library(root);
-        Path control = control(name);
+        Path control = controlFile(name);
         if (!Files.exists(control)) {
             Files.write(control, new byte[CONTROL_BYTES]);
         }
         return Map.of("LD_PRELOAD", library.toString(), "SYSCALL_FAULTS", control.toString(), "SYSCALL_LOG",
-                log(name).toString(), "SYSCALL_FOLDER", folder.toString());
+                logFile(name).toString(), "SYSCALL_FOLDER", folder.toString());
     }
 
-    private Path control(String name) {
+    private Path controlFile(String name) {
         return folder.resolve(name + ".faults");
     }
 
     /** The log of the process's injected faults, one on each line. */
-    Path log(String name) {
+    Path logFile(String name) {
         return folder.resolve(name + ".faults.log");
     }
 
     synchronized void begin(Fault fault, String name) {
-        active.computeIfAbsent(name, each -> new ArrayList<>()).add(fault);
+        activeFaults.computeIfAbsent(name, each -> new ArrayList<>()).add(fault);
         write(name);
     }
 
     synchronized void end(Fault fault, String name) {
-        active.getOrDefault(name, List.of()).remove(fault);
+        activeFaults.getOrDefault(name, List.of()).remove(fault);
         write(name);
     }
 
@@ -69,11 +69,12 @@
         generation++;
         String first = generation + " " + seed + "\n";
         StringBuilder rules = new StringBuilder();
-        active.get(name).forEach(fault -> rules.append(fault.systemCall().rule(Math.round(fault.size()))).append('\n'));
+        activeFaults.get(name).forEach(fault -> rules.append(fault.systemCall()
+                .toRuleLine(Math.round(fault.magnitude()))).append('\n'));
         byte[] text = new byte[CONTROL_BYTES];
         byte[] all = (first + rules).getBytes(StandardCharsets.UTF_8);
         System.arraycopy(all, 0, text, 0, all.length);
-        try (RandomAccessFile file = new RandomAccessFile(control(name).toFile(), "rw")) {
+        try (RandomAccessFile file = new RandomAccessFile(controlFile(name).toFile(), "rw")) {
             file.seek(first.length());
             file.write(text, first.length(), CONTROL_BYTES - first.length());
             file.seek(0);
@@ -92,9 +93,9 @@
             return library;
         }
         Files.createDirectories(library.getParent());
-        Path made = Files.createTempFile(library.getParent(), "libsyscallfaults", ".so");
-        compile(source, made);
-        return Files.move(made, library, StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
+        Path compiled = Files.createTempFile(library.getParent(), "libsyscallfaults", ".so");
+        compile(source, compiled);
+        return Files.move(compiled, library, StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
     }
 
     private static void compile(Path source, Path into) throws IOException {
@@ -106,10 +107,10 @@
         } catch (IOException e) {
             throw new IllegalStateException("no C compiler for " + SOURCE + ": install gcc (apt-get install gcc libc6-dev)", e);
         }
-        String said = new String(compiler.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+        String output = new String(compiler.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         try {
             if (compiler.waitFor() != 0) {
-                throw new IllegalStateException("can't compile " + SOURCE + ": " + said);
+                throw new IllegalStateException("can't compile " + SOURCE + ": " + output);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/rig/src/main/java/mastdrift/rig/ViewCheck.java
+++ b/rig/src/main/java/mastdrift/rig/ViewCheck.java
@@ -14,11 +14,11 @@
 final class ViewCheck implements Check {
 
     @Override
-    public Verdict look(History history) {
+    public Verdict evaluate(History history) {
         List<String> breaches = new ArrayList<>();
         Map<Long, Event> contents = new HashMap<>();
         Map<String, Long> latest = new HashMap<>();
-        Set<String> all = new HashSet<>();
+        Set<String> processes = new HashSet<>();
         Event healed = null;
         Map<String, Long> atBound = new HashMap<>();
         long newest = 0;
@@ -29,7 +29,7 @@
             if (!event.op().equals("view")) {
                 continue;
             }
-            all.add(event.by());
+            processes.add(event.by());
             long number = event.number("number", 0);
             Event before = contents.putIfAbsent(number, event);
             if (before != null && !before.facts().get("members").equals(event.facts().get("members"))) {
@@ -47,9 +47,9 @@
                 newest = Math.max(newest, number);
             }
         }
-        history.events("alive").forEach(event -> all.retainAll((List<?>) event.facts().get("names")));
+        history.events("alive").forEach(event -> processes.retainAll((List<?>) event.facts().get("names")));
         if (healed != null) {
-            for (String by : all) {
+            for (String by : processes) {
                 if (atBound.getOrDefault(by, 0L) < newest) {
                     breaches.add(by + " had view " + atBound.get(by) + " when others had " + newest + ", "
                             + healed.number("within_ms", 0) + " ms after the healing");
--- a/rig/src/main/java/mastdrift/rig/WatchCheck.java
+++ b/rig/src/main/java/mastdrift/rig/WatchCheck.java
@@ -16,20 +16,20 @@
 
     private final List<String> breaches = new ArrayList<>();
     private final Map<Long, Map<String, String>> lists = new TreeMap<>();
-    private final Map<Long, String> firstTold = new HashMap<>();
+    private final Map<Long, String> firstWatcher = new HashMap<>();
 
     @Override
-    public Verdict look(History history) {
+    public Verdict evaluate(History history) {
         Map<String, List<Event>> byWatcher = new TreeMap<>();
         history.events("line").forEach(event -> byWatcher.computeIfAbsent(event.by(), w -> new ArrayList<>()).add(event));
-        byWatcher.forEach(this::follow);
+        byWatcher.forEach(this::replay);
         // By entry, the acknowledged writes ordered by revision.
         Map<String, TreeMap<Long, String>> writes = new HashMap<>();
-        Map<String, List<String>> unheard = new HashMap<>();
+        Map<String, List<String>> unknownWrites = new HashMap<>();
         for (Event event : history.events()) {
             if (event.op().equals("put") || event.op().equals("cas")) {
-                if (!event.known()) {
-                    unheard.computeIfAbsent(event.text("key"), k -> new ArrayList<>()).add(event.text("value"));
+                if (!event.isKnown()) {
+                    unknownWrites.computeIfAbsent(event.text("key"), k -> new ArrayList<>()).add(event.text("value"));
                 } else if (Boolean.TRUE.equals(event.facts().get("ok"))) {
                     writes.computeIfAbsent(event.text("key"), k -> new TreeMap<>()).put(event.number("rev", 0),
                             event.text("value"));
@@ -37,17 +37,17 @@
             }
         }
         lists.forEach((rev, list) -> writes.forEach((key, values) -> {
-            Map.Entry<Long, String> due = values.floorEntry(rev);
-            if (due != null && !due.getValue().equals(list.get(key))
-                    && !unheard.getOrDefault(key, List.of()).contains(list.get(key))) {
-                breaches.add(firstTold.get(rev) + " has " + list.get(key) + " for " + key + " at revision " + rev
-                        + ", where " + due.getValue() + " was written at " + due.getKey());
+            Map.Entry<Long, String> expected = values.floorEntry(rev);
+            if (expected != null && !expected.getValue().equals(list.get(key))
+                    && !unknownWrites.getOrDefault(key, List.of()).contains(list.get(key))) {
+                breaches.add(firstWatcher.get(rev) + " has " + list.get(key) + " for " + key + " at revision " + rev
+                        + ", where " + expected.getValue() + " was written at " + expected.getKey());
             }
         }));
         return Verdict.of("watches", breaches);
     }
 
-    private void follow(String watcher, List<Event> lines) {
+    private void replay(String watcher, List<Event> lines) {
         long rev = 0;
         Map<String, String> list = new TreeMap<>();
         for (Event line : lines) {
@@ -70,10 +70,10 @@
             });
             Map<String, String> before = lists.putIfAbsent(rev, Map.copyOf(list));
             if (before == null) {
-                firstTold.put(rev, watcher);
+                firstWatcher.put(rev, watcher);
             } else if (!before.equals(list)) {
-                breaches.add("revision " + rev + " has two contents, one with " + firstTold.get(rev) + " and one with "
-                        + watcher);
+                breaches.add("revision " + rev + " has two contents, one with " + firstWatcher.get(rev)
+                        + " and one with " + watcher);
             }
         }
     }
--- a/rig/src/test/java/mastdrift/rig/LinkTest.java
+++ b/rig/src/test/java/mastdrift/rig/LinkTest.java
@@ -29,22 +29,22 @@
     private static final int SILENCE_MILLIS = 300;  // without bytes that must not arrive
 
     private final EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
-    private ServerSocket called;
+    private ServerSocket target;
     private Link link;
-    private InetSocketAddress at;
+    private InetSocketAddress address;
 
     @BeforeEach
     void open() throws IOException {
-        called = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
-        called.setSoTimeout(WAIT_MILLIS);
-        at = new InetSocketAddress("127.199.0.1", Addresses.port("127.199.0.1"));
-        link = Link.open(loop, at, new InetSocketAddress("127.0.0.1", called.getLocalPort()), () -> 0.5);
+        target = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
+        target.setSoTimeout(WAIT_MILLIS);
+        address = new InetSocketAddress("127.199.0.1", Addresses.freePort("127.199.0.1"));
+        link = Link.open(loop, address, new InetSocketAddress("127.0.0.1", target.getLocalPort()), () -> 0.5);
     }
 
     @AfterEach
     void close() throws IOException {
         link.close();
-        called.close();
+        target.close();
         loop.parent().shutdownGracefully();
     }
 
@@ -52,78 +52,78 @@
         return new Fault(0, kind, 0, 0, List.of(), List.of(), way, size, 0, Fault.Back.KEEP, null, 1, null);
     }
 
-    private Socket dial() throws IOException {
+    private Socket connect() throws IOException {
         Socket socket = new Socket();
-        socket.connect(at, WAIT_MILLIS);
+        socket.connect(address, WAIT_MILLIS);
         socket.setSoTimeout(WAIT_MILLIS);
         return socket;
     }
 
     private Socket accept() throws IOException {
-        Socket socket = called.accept();
+        Socket socket = target.accept();
         socket.setSoTimeout(WAIT_MILLIS);
         return socket;
     }
 
-    private static void say(Socket socket, String text) throws IOException {
+    private static void send(Socket socket, String text) throws IOException {
         socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
     }
 
-    private static void hears(Socket socket, String text) throws IOException {
+    private static void assertReceives(Socket socket, String text) throws IOException {
         assertArrayEquals(text.getBytes(StandardCharsets.UTF_8), socket.getInputStream().readNBytes(text.length()));
     }
 
-    private static void hearsNothing(Socket socket) throws IOException {
+    private static void assertReceivesNothing(Socket socket) throws IOException {
         socket.setSoTimeout(SILENCE_MILLIS);
         assertThrows(SocketTimeoutException.class, () -> socket.getInputStream().read());
         socket.setSoTimeout(WAIT_MILLIS);
     }
 
     @Test
-    void bytesAndEndsPassBothWays() throws IOException {
-        try (Socket caller = dial(); Socket host = accept()) {
-            say(caller, "there");
-            hears(host, "there");
-            say(host, "back");
+    void bytesAndEndOfStreamPassInBothDirections() throws IOException {
+        try (Socket caller = connect(); Socket host = accept()) {
+            send(caller, "there");
+            assertReceives(host, "there");
+            send(host, "back");
             host.close();
-            hears(caller, "back");
+            assertReceives(caller, "back");
             assertEquals(-1, caller.getInputStream().read());
         }
     }
 
     @Test
-    void aCutOneWayHoldsThatWayAndHealsWithNothingLost() throws IOException {
-        try (Socket caller = dial(); Socket host = accept()) {
-            say(caller, "0");
-            hears(host, "0");
-            link.begin(fault(Fault.Kind.CUT, Link.Way.THERE, 0));
-            say(caller, "held");
-            say(host, "heard");
-            hears(caller, "heard");
-            hearsNothing(host);
+    void oneWayCutLosesNoBytes() throws IOException {
+        try (Socket caller = connect(); Socket host = accept()) {
+            send(caller, "0");
+            assertReceives(host, "0");
+            link.inject(fault(Fault.Kind.CUT, Link.Way.THERE, 0));
+            send(caller, "held");
+            send(host, "heard");
+            assertReceives(caller, "heard");
+            assertReceivesNothing(host);
             link.heal();
-            hears(host, "held");
+            assertReceives(host, "held");
         }
     }
 
     @Test
-    void noConnectionComesUpThroughACutAndOneDoesAfterIt() throws Exception {
-        link.begin(fault(Fault.Kind.CUT, Link.Way.BOTH, 0));
+    void noConnectionIsEstablishedDuringACut() throws Exception {
+        link.inject(fault(Fault.Kind.CUT, Link.Way.BOTH, 0));
         // The system completes a few connections until the backlog is full; none of them reaches the target, and later
         // ones are not established.
         boolean[] refused = {false};
         for (int i = 0; i < 200 && !refused[0]; i++) {
             Socket socket = new Socket();
             try {
-                socket.connect(at, SILENCE_MILLIS);
+                socket.connect(address, SILENCE_MILLIS);
             } catch (SocketTimeoutException e) {
                 refused[0] = true;
             }
         }
         assertEquals(true, refused[0]);
         link.heal();
-        try (Socket caller = dial()) {
-            say(caller, "again");
+        try (Socket caller = connect()) {
+            send(caller, "again");
             for (Socket host = accept(); ; host = accept()) {
                 host.setSoTimeout(SILENCE_MILLIS);
                 try {
@@ -138,63 +138,63 @@
     }
 
     @Test
-    void aSilentOneIsAcceptedAndHeardAfterwards() throws IOException {
-        link.begin(fault(Fault.Kind.SILENT, Link.Way.BOTH, 0));
-        try (Socket caller = dial()) {
-            say(caller, "hello");
-            hearsNothing(caller);
+    void silentLinkAcceptsAndDeliversAfterwards() throws IOException {
+        link.inject(fault(Fault.Kind.SILENT, Link.Way.BOTH, 0));
+        try (Socket caller = connect()) {
+            send(caller, "hello");
+            assertReceivesNothing(caller);
             link.heal();
             try (Socket host = accept()) {
-                hears(host, "hello");
+                assertReceives(host, "hello");
             }
         }
     }
 
     @Test
-    void aRefusingOneResetsAndRefuses() throws IOException {
-        try (Socket caller = dial(); Socket host = accept()) {
-            say(caller, "0");
-            hears(host, "0");
-            link.begin(fault(Fault.Kind.REFUSE, Link.Way.BOTH, 0));
+    void refuseResetsOpenAndRefusesNewConnections() throws IOException {
+        try (Socket caller = connect(); Socket host = accept()) {
+            send(caller, "0");
+            assertReceives(host, "0");
+            link.inject(fault(Fault.Kind.REFUSE, Link.Way.BOTH, 0));
             assertThrows(SocketException.class, () -> caller.getInputStream().read());
-            assertThrows(ConnectException.class, this::dial);
+            assertThrows(ConnectException.class, this::connect);
             link.heal();
-            try (Socket again = dial(); Socket other = accept()) {
-                say(again, "1");
-                hears(other, "1");
+            try (Socket again = connect(); Socket other = accept()) {
+                send(again, "1");
+                assertReceives(other, "1");
             }
         }
     }
 
     @Test
-    void aStallEndsInTheMiddleAndAResetAtItsByte() throws IOException {
-        link.begin(fault(Fault.Kind.STALL, Link.Way.THERE, 4));
-        try (Socket caller = dial(); Socket host = accept()) {
-            say(caller, "12345678");
-            hears(host, "1234");
-            hearsNothing(host);
+    void stallAndResetTakeEffectAtTheirByte() throws IOException {
+        link.inject(fault(Fault.Kind.STALL, Link.Way.THERE, 4));
+        try (Socket caller = connect(); Socket host = accept()) {
+            send(caller, "12345678");
+            assertReceives(host, "1234");
+            assertReceivesNothing(host);
             link.heal();
-            hears(host, "5678");
-            link.begin(fault(Fault.Kind.RESET, Link.Way.THERE, 2));
-            say(caller, "abc");
+            assertReceives(host, "5678");
+            link.inject(fault(Fault.Kind.RESET, Link.Way.THERE, 2));
+            send(caller, "abc");
             assertThrows(SocketException.class, () -> caller.getInputStream().read());
         }
     }
 
     @Test
-    void delayAndTrickleLoseNothingAndKeepTheOrder() throws IOException {
-        try (Socket caller = dial(); Socket host = accept()) {
-            link.begin(fault(Fault.Kind.DELAY, Link.Way.THERE, 20));
+    void delayAndTrickleKeepAllBytesInOrder() throws IOException {
+        try (Socket caller = connect(); Socket host = accept()) {
+            link.inject(fault(Fault.Kind.DELAY, Link.Way.THERE, 20));
             long before = System.nanoTime();
             for (int i = 0; i < 10; i++) {
-                say(caller, Integer.toString(i));
+                send(caller, Integer.toString(i));
             }
-            hears(host, "0123456789");
+            assertReceives(host, "0123456789");
             assertEquals(true, System.nanoTime() - before >= 20_000_000);
-            link.begin(fault(Fault.Kind.TRICKLE, Link.Way.THERE, 1000));
+            link.inject(fault(Fault.Kind.TRICKLE, Link.Way.THERE, 1000));
             before = System.nanoTime();
-            say(caller, "x".repeat(100));
-            hears(host, "x".repeat(100));
+            send(caller, "x".repeat(100));
+            assertReceives(host, "x".repeat(100));
             assertEquals(true, System.nanoTime() - before >= 80_000_000);
         }
     }
--- a/rig/src/test/java/mastdrift/rig/PlanTest.java
+++ b/rig/src/test/java/mastdrift/rig/PlanTest.java
@@ -33,30 +33,31 @@
             """;
 
     @Test
-    void theSameSeedDrawsTheSameFaults() throws Exception {
+    void sameSeedDrawsSameFaults() throws Exception {
         RigPlan plan = PlanFile.parse(GATEWAYS, "some.toml");
-        List<String> names = Stage.names(plan);
-        List<Fault> faults = Draw.faults(plan, names, 7);
-        assertEquals(faults, Draw.faults(PlanFile.parse(GATEWAYS, "some.toml"), names, 7));
-        assertNotEquals(faults, Draw.faults(plan, names, 8));
+        List<String> names = TestBed.names(plan);
+        List<Fault> faults = FaultSchedule.draw(plan, names, 7);
+        assertEquals(faults, FaultSchedule.draw(PlanFile.parse(GATEWAYS, "some.toml"), names, 7));
+        assertNotEquals(faults, FaultSchedule.draw(plan, names, 8));
         assertEquals(3, faults.size());
         assertEquals(List.of("gateway-1", "gateway-2"), faults.get(0).processes());
-        assertEquals(List.of("host-a-1", "host-a-2"), faults.get(0).others());
-        assertEquals(Link.Way.BACK, faults.get(0).way());
+        assertEquals(List.of("host-a-1", "host-a-2"), faults.get(0).targets());
+        assertEquals(Link.Way.BACK, faults.get(0).direction());
         assertEquals(2, faults.get(1).processes().size());
     }
 
     /** Guards against a fault added to a plan that changes what earlier faults draw: the plan's seeds would lose their
         meaning. */
     @Test
-    void aFurtherFaultMovesNoOther() throws Exception {
+    void addedFaultChangesNoOther() throws Exception {
         RigPlan plan = PlanFile.parse(GATEWAYS, "some.toml");
         RigPlan more = PlanFile.parse(GATEWAYS + "[[fault]]\nkind = \"freeze\"\nprocess = \"gateway-*\"\n", "more.toml");
-        assertEquals(Draw.faults(plan, Stage.names(plan), 3), Draw.faults(more, Stage.names(more), 3).subList(0, 3));
+        assertEquals(FaultSchedule.draw(plan, TestBed.names(plan), 3), FaultSchedule.draw(more, TestBed.names(more), 3)
+                .subList(0, 3));
     }
 
     @Test
-    void allThatIsWrongIsToldAtOnceWithItsLine() {
+    void allErrorsAreReportedWithTheirLines() {
         TomlFile.ValidationException faults = assertThrows(TomlFile.ValidationException.class, () -> PlanFile.parse("""
                 name = "odd"
                 relay = false
--- a/rig/src/test/java/mastdrift/rig/SoakTest.java
+++ b/rig/src/test/java/mastdrift/rig/SoakTest.java
@@ -14,7 +14,7 @@
 /** A short soak test: the plan of the soak with a few seeds, some of which exhaust the gateways' descriptors. */
 class SoakTest {
 
-    private static final long CROWDED = 9;
+    private static final long SEED_THAT_EXHAUSTS_DESCRIPTORS = 9;
     private static final Path ROOT = Path.of("..").toAbsolutePath().normalize();
 
     @TempDir
@@ -25,40 +25,41 @@
     }
 
     @ParameterizedTest
-    @ValueSource(longs = {1, CROWDED, 45})
+    @ValueSource(longs = {1, SEED_THAT_EXHAUSTS_DESCRIPTORS, 45})
     void gatewaysKeepTheRulesUnderAllFaults(long seed) throws Exception {
         RigPlan plan = plan();
-        Play.Outcome outcome = Play.of(plan, seed, Draw.faults(plan, Stage.names(plan), seed),
-                new Stage.Setting(ROOT, false, Variants.NONE), 0, folder);
-        assertTrue(outcome.held(), outcome.verdicts().toString());
-        assertTrue((Integer) outcome.figures().get("served") > 0, outcome.figures().toString());
+        TestRun.Result result = TestRun.run(plan, seed, FaultSchedule.draw(plan, TestBed.names(plan), seed),
+                new TestBed.Options(ROOT, false, BrokenVariants.NONE), 0, folder);
+        assertTrue(result.held(), result.verdicts().toString());
+        assertTrue((Integer) result.figures().get("served") > 0, result.figures().toString());
     }
 
     /** Guards against a soak in which no seed exhausts the gateways' descriptors any more. */
     @Test
-    void someSeedsHaveACrowd() throws Exception {
+    void someSeedsExhaustDescriptors() throws Exception {
         RigPlan.Load load = plan().load();
-        assertTrue(new BadClients(null, load, CROWDED, new History()).crowd());
-        assertFalse(new BadClients(null, load, 1, new History()).crowd());
+        assertTrue(new BadClients(null, load, SEED_THAT_EXHAUSTS_DESCRIPTORS, new History()).exhaustsDescriptors());
+        assertFalse(new BadClients(null, load, 1, new History()).exhaustsDescriptors());
     }
 
     @Test
-    void eachSeedDrawsFaultsAndADeadlineOfItsOwn() throws Exception {
+    void seedsDrawDifferentFaultsAndDeadlines() throws Exception {
         RigPlan plan = plan();
-        List<String> names = Stage.names(plan);
-        assertEquals(Draw.faults(plan, names, 1), Draw.faults(plan, names, 1));
-        assertFalse(Draw.faults(plan, names, 1).equals(Draw.faults(plan, names, 2)));
-        assertFalse(plan.load().deadlineMs(1) == plan.load().deadlineMs(2));
+        List<String> names = TestBed.names(plan);
+        assertEquals(FaultSchedule.draw(plan, names, 1), FaultSchedule.draw(plan, names, 1));
+        assertFalse(FaultSchedule.draw(plan, names, 1).equals(FaultSchedule.draw(plan, names, 2)));
+        assertFalse(plan.load().deadlineMillis(1) == plan.load().deadlineMillis(2));
     }
 
     /** A stopped gateway must get its longest deadline and 0.7 s before it is killed. */
     @Test
-    void aStopIsFollowedByAKillAtTheEarliest() throws Exception {
+    void stopIsFollowedByKillAtTheEarliestTime() throws Exception {
         RigPlan plan = plan();
         for (long seed = 1; seed <= 20; seed++) {
-            double earliest = plan.load().deadlineMs(seed) + 700;
-            Draw.faults(plan, Stage.names(plan), seed).stream().filter(fault -> fault.kind() == Fault.Kind.STOP)
-                    .forEach(fault -> assertEquals(earliest, fault.size()));
+            double earliest = plan.load().deadlineMillis(seed) + 700;
+            FaultSchedule.draw(plan, TestBed.names(plan), seed).stream()
+                    .filter(fault -> fault.kind() == Fault.Kind.STOP)
+                    .forEach(fault -> assertEquals(earliest, fault.magnitude()));
         }
     }
 }
--- a/rig/src/test/java/mastdrift/rig/SystemCallFaultsTest.java
+++ b/rig/src/test/java/mastdrift/rig/SystemCallFaultsTest.java
@@ -24,7 +24,7 @@
 
     /** Runs gateways with the given faults. Links to hosts are refused at times, so that gateways have to connect
         again, and some clients use a new connection for each request. */
-    private Play.Outcome play(String faults) throws Exception {
+    private TestRun.Result run(String faults) throws Exception {
         RigPlan plan = PlanFile.parse("""
                 name = "system-calls"
                 seconds = 4
@@ -47,8 +47,8 @@
                 for_s = 0.03
                 times = 4
                 """ + faults, "test.toml");
-        return Play.of(plan, 1, Draw.faults(plan, Stage.names(plan), 1), new Stage.Setting(ROOT, false, Variants.NONE), 0,
-                folder);
+        return TestRun.run(plan, 1, FaultSchedule.draw(plan, TestBed.names(plan), 1),
+                new TestBed.Options(ROOT, false, BrokenVariants.NONE), 0, folder);
     }
 
     private static String fault(String call, String error, double rate, String side) {
@@ -70,91 +70,93 @@
                 """.formatted(call, error, rate, side, size);
     }
 
-    private long injected(int gateway, String call) throws Exception {
+    private long countInjected(int gateway, String call) throws Exception {
         Path log = folder.resolve("gateway-" + gateway + ".faults.log");
         return Files.readString(log, StandardCharsets.UTF_8).lines().filter(line -> line.contains(" " + call + " ")).count();
     }
 
-    private String logOf(int gateway) throws Exception {
+    private String readLog(int gateway) throws Exception {
         return Files.readString(folder.resolve("gateway-" + gateway).resolve("log.txt"), StandardCharsets.UTF_8);
     }
 
-    private static void assertHeld(Play.Outcome outcome) {
-        assertTrue(outcome.held(), outcome.verdicts().toString());
-        assertTrue((Integer) outcome.figures().get("served") > 0, outcome.figures().toString());
+    private static void assertHeld(TestRun.Result result) {
+        assertTrue(result.held(), result.verdicts().toString());
+        assertTrue((Integer) result.figures().get("served") > 0, result.figures().toString());
     }
 
     /** Guards against a long pause after a failed accept. For 2.5 s every accept fails: retries 1 s apart would be
         three at most; a few ms apart they are hundreds, and at least ten on a slow machine. */
     @Test
-    void aFailedAcceptIsTriedAgainWithinMilliseconds() throws Exception {
-        Play.Outcome outcome = play(fault("accept", "ENFILE", 1, "any"));
-        assertHeld(outcome);
+    void failedAcceptIsRetriedWithinMilliseconds() throws Exception {
+        TestRun.Result result = run(fault("accept", "ENFILE", 1, "any"));
+        assertHeld(result);
         for (int gateway = 1; gateway <= GATEWAYS; gateway++) {
-            assertTrue(injected(gateway, "accept") >= 10, "tries: " + injected(gateway, "accept"));
+            assertTrue(countInjected(gateway, "accept") >= 10, "tries: " + countInjected(gateway, "accept"));
         }
     }
 
     @Test
-    void anInterruptedReadIsNoEndOfStream() throws Exception {
-        Play.Outcome outcome = play(fault("read", "EINTR", 0.2, "client"));
-        assertHeld(outcome);
-        assertTrue(injected(1, "read") > 0);
-        assertEquals(0, ((Number) outcome.figures().get("sent_again")).longValue(), outcome.figures().toString());
+    void interruptedReadIsNoEndOfStream() throws Exception {
+        TestRun.Result result = run(fault("read", "EINTR", 0.2, "client"));
+        assertHeld(result);
+        assertTrue(countInjected(1, "read") > 0);
+        assertEquals(0, ((Number) result.figures().get("sent_again")).longValue(), result.figures().toString());
     }
 
     @Test
-    void aWriteThatMeetsAShortageIsMadeAgain() throws Exception {
-        Play.Outcome outcome = play(fault("write", "ENOBUFS", 0.1, "any"));
-        assertHeld(outcome);
-        assertTrue(injected(1, "write") > 0);
-        assertTrue(logOf(1).contains("event=write_deferred"));
+    void writeWithoutBufferSpaceIsRetried() throws Exception {
+        TestRun.Result result = run(fault("write", "ENOBUFS", 0.1, "any"));
+        assertHeld(result);
+        assertTrue(countInjected(1, "write") > 0);
+        assertTrue(readLog(1).contains("event=write_deferred"));
     }
 
     /** Guards against connections closed because of errors that don't concern them: socket options that can't be set or
         read, interrupted calls, partial transfers, and EAGAIN on a ready socket. */
     @Test
-    void callsThatSayNothingOfAConnectionEndNone() throws Exception {
-        Play.Outcome outcome = play(fault("setsockopt", "EINVAL", 0.3, "any") + fault("getsockopt", "EINVAL", 0.3, "any")
+    void transientErrorsCloseNoConnection() throws Exception {
+        TestRun.Result result = run(fault("setsockopt", "EINVAL", 0.3, "any")
+                + fault("getsockopt", "EINVAL", 0.3, "any")
                 + fault("read", "SHORT", 0.5, "any") + fault("read", "EAGAIN", 0.2, "any") + fault("write", "SHORT", 0.5, "any")
                 + fault("write", "EINTR", 0.2, "any") + fault("epoll_wait", "EINTR", 0.3, "any")
                 + fault("accept", "EINTR", 0.3, "any") + fault("accept", "ECONNABORTED", 0.3, "any")
                 + fault("connect", "EINTR", 0.3, "any") + fault("poll", "EINTR", 0.3, "any"));
-        assertHeld(outcome);
+        assertHeld(result);
         for (String call : List.of("setsockopt", "getsockopt", "read", "write", "epoll_wait", "accept", "connect")) {
-            assertTrue(injected(1, call) > 0, call);
+            assertTrue(countInjected(1, call) > 0, call);
         }
-        assertEquals(0, ((Number) outcome.figures().get("sent_again")).longValue(), outcome.figures().toString());
+        assertEquals(0, ((Number) result.figures().get("sent_again")).longValue(), result.figures().toString());
     }
 
     /** Guards against lost requests, and callbacks off the event loop, when a connect fails at once: there is no
         socket, no address or no route. */
     @Test
-    void dialsThatFailAtOnceLoseNoRequest() throws Exception {
-        Play.Outcome outcome = play(fault("socket", "ENFILE", 0.3, "any") + fault("connect", "EADDRNOTAVAIL", 0.2, "any")
+    void connectsThatFailAtOnceLoseNoRequest() throws Exception {
+        TestRun.Result result = run(fault("socket", "ENFILE", 0.3, "any")
+                + fault("connect", "EADDRNOTAVAIL", 0.2, "any")
                 + fault("connect", "ENETUNREACH", 0.2, "any") + fault("connect_result", "EHOSTUNREACH", 0.2, "any"));
-        assertHeld(outcome);
-        assertTrue(injected(1, "socket") > 0 && injected(1, "connect") > 0);
+        assertHeld(result);
+        assertTrue(countInjected(1, "socket") > 0 && countInjected(1, "connect") > 0);
         for (int gateway = 1; gateway <= GATEWAYS; gateway++) {
-            assertFalse(logOf(gateway).contains("event=off_loop"), logOf(gateway));
+            assertFalse(readLog(gateway).contains("event=off_loop"), readLog(gateway));
         }
     }
 
     /** Guards against requests that wait for the log while its disk is full, fails, or hangs for 2 s on each line. */
     @Test
-    void aLogThatFailsOrHangsHoldsUpNoRequest() throws Exception {
-        Play.Outcome outcome = play(fault("write", "ENOSPC", 0.3, "log") + fault("write", "EIO", 0.3, "log")
+    void failingOrHangingLogDelaysNoRequest() throws Exception {
+        TestRun.Result result = run(fault("write", "ENOSPC", 0.3, "log") + fault("write", "EIO", 0.3, "log")
                 + fault("write", "DELAY", 1, "log", 2000) + fault("socket", "ENFILE", 0.3, "any"));
-        assertHeld(outcome);
-        assertTrue(injected(1, "write") > 0);
-        assertEquals(0, ((Number) outcome.figures().get("lost_by_time")).longValue(), outcome.figures().toString());
+        assertHeld(result);
+        assertTrue(countInjected(1, "write") > 0);
+        assertEquals(0, ((Number) result.figures().get("lost_by_time")).longValue(), result.figures().toString());
     }
 
     /** Guards against a class or a system file that is opened for the first time while no descriptor is left. Meanwhile
         hosts and connects fail, a new list arrives, and a gateway stops. */
     @Test
-    void aProcessThatCanOpenNothingGoesOnServing() throws Exception {
-        Play.Outcome outcome = play(fault("open_anywhere", "EMFILE", 1, "any") + fault("socket", "EMFILE", 0.5, "any")
+    void processWithoutDescriptorsGoesOnServing() throws Exception {
+        TestRun.Result result = run(fault("open_anywhere", "EMFILE", 1, "any") + fault("socket", "EMFILE", 0.5, "any")
                 + fault("connect", "ECONNREFUSED", 0.1, "any") + fault("read", "ECONNRESET", 0.02, "upstream") + """
                 [[fault]]
                 kind = "replace"
@@ -167,41 +169,43 @@
                 at_s = 1
                 for_s = 2
                 """);
-        assertHeld(outcome);
-        assertFalse(logOf(1).contains("NoClassDefFound") || logOf(2).contains("NoClassDefFound"), logOf(1) + logOf(2));
+        assertHeld(result);
+        assertFalse(readLog(1).contains("NoClassDefFound") || readLog(2).contains("NoClassDefFound"), readLog(1)
+                + readLog(2));
     }
 
     /** An event loop that sleeps for 0.6 s at times must be found by the rules checker, and logged as blocked by the
         gateway. */
     @Test
-    void aLoopThatSleepsIsCaught() throws Exception {
-        Play.Outcome outcome = play(fault("epoll_wait", "DELAY", 0.05, "any", 600));
-        assertTrue(outcome.verdicts().toString().contains("late_answer"), outcome.verdicts().toString());
-        assertTrue(logOf(1).contains("event=loop_late") && logOf(1).contains("cause=blocked"), logOf(1));
+    void blockedEventLoopIsDetected() throws Exception {
+        TestRun.Result result = run(fault("epoll_wait", "DELAY", 0.05, "any", 600));
+        assertTrue(result.verdicts().toString().contains("late_answer"), result.verdicts().toString());
+        assertTrue(readLog(1).contains("event=loop_late") && readLog(1).contains("cause=blocked"), readLog(1));
     }
 
     /** Guards against connections and listening sockets that are never read again after epoll_ctl had no memory to add
         them. */
     @Test
-    void whatTheSystemDoesNotWatchIsReadAllTheSame() throws Exception {
-        Play.Outcome outcome = play(fault("epoll_add", "ENOMEM", 0.1, "any") + fault("accept", "EMFILE", 0.3, "any"));
-        assertHeld(outcome);
-        assertTrue(injected(1, "epoll_add") > 0);
+    void socketsWithoutEpollRegistrationAreStillRead() throws Exception {
+        TestRun.Result result = run(fault("epoll_add", "ENOMEM", 0.1, "any") + fault("accept", "EMFILE", 0.3, "any"));
+        assertHeld(result);
+        assertTrue(countInjected(1, "epoll_add") > 0);
     }
 
     /** Guards against an event loop that retries an aborted accept without end and does nothing else. */
     @Test
     void anAcceptThatIsAbortedWithoutEndHoldsUpNobody() throws Exception {
-        Play.Outcome outcome = play(fault("accept", "ECONNABORTED", 1, "any"));
-        assertHeld(outcome);
-        assertTrue(injected(1, "accept") > 0);
+        TestRun.Result result = run(fault("accept", "ECONNABORTED", 1, "any"));
+        assertHeld(result);
+        assertTrue(countInjected(1, "accept") > 0);
         for (int gateway = 1; gateway <= GATEWAYS; gateway++) {
-            assertFalse(logOf(gateway).contains("event=loop_late") && logOf(gateway).contains("longest_task=accept"), logOf(gateway));
+            assertFalse(readLog(gateway).contains("event=loop_late")
+                    && readLog(gateway).contains("longest_task=accept"), readLog(gateway));
         }
     }
 
     @Test
-    void anUnknownErrorIsNamedWithFileLineAndKey() {
+    void invalidCallOrErrorIsReportedWithFileLineAndKey() {
         TomlFile.ValidationException faults = assertThrows(TomlFile.ValidationException.class, () -> PlanFile.parse("""
                 [[fault]]
                 kind = "system_call"
