--- a/rig/src/test/java/mastdrift/rig/PlayTest.java
+++ b/rig/src/test/java/mastdrift/rig/TestRunTest.java
@@ -16,17 +16,17 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** Short runs of plans with real processes. Verdicts depend on what happened, not on how long it took. */
-class PlayTest {
+class TestRunTest {
 
     private static final Path ROOT = Path.of("..").toAbsolutePath().normalize();
 
     @TempDir
     private Path folder;
 
-    private Play.Outcome play(String text, long seed, String variant) throws Exception {
+    private TestRun.Result run(String text, long seed, String variant) throws Exception {
         RigPlan plan = PlanFile.parse(text, "test.toml");
-        return Play.of(plan, seed, Draw.faults(plan, Stage.names(plan), seed), new Stage.Setting(ROOT, false, variant), 0,
-                folder.resolve("seed-" + seed));
+        return TestRun.run(plan, seed, FaultSchedule.draw(plan, TestBed.names(plan), seed),
+                new TestBed.Options(ROOT, false, variant), 0, folder.resolve("seed-" + seed));
     }
 
     private static final String GATEWAYS = """
@@ -60,10 +60,10 @@
             """;
 
     @Test
-    void gatewaysKeepTheRulesAndThePageShowsIt() throws Exception {
-        Play.Outcome outcome = play(GATEWAYS, 1, Variants.NONE);
-        assertTrue(outcome.held(), outcome.verdicts().toString());
-        assertTrue((Integer) outcome.figures().get("served") > 0, outcome.figures().toString());
+    void gatewaysKeepTheRulesAndTheReportShowsFaults() throws Exception {
+        TestRun.Result result = run(GATEWAYS, 1, BrokenVariants.NONE);
+        assertTrue(result.held(), result.verdicts().toString());
+        assertTrue((Integer) result.figures().get("served") > 0, result.figures().toString());
         Report.write(folder, folder.resolve("report.html"));
         String page = Files.readString(folder.resolve("report.html"), StandardCharsets.UTF_8);
         assertTrue(page.contains("\"kind\":\"freeze\"") && page.contains("served_share"));
@@ -95,15 +95,15 @@
             """;
 
     @Test
-    void theListServiceLosesNothingWithItsLeader() throws Exception {
-        Play.Outcome outcome = play(REGISTRY, 2, Variants.NONE);
-        assertTrue(outcome.held(), outcome.verdicts().toString());
-        assertTrue((Integer) outcome.figures().get("writes") > 20, outcome.figures().toString());
+    void listServiceLosesNothingWhenItsLeaderIsKilled() throws Exception {
+        TestRun.Result result = run(REGISTRY, 2, BrokenVariants.NONE);
+        assertTrue(result.held(), result.verdicts().toString());
+        assertTrue((Integer) result.figures().get("writes") > 20, result.figures().toString());
     }
 
     @Test
-    void aGatewayThatOurListServiceFeedsServesWhileItsLeaderIsKilled() throws Exception {
-        Play.Outcome outcome = play("""
+    void gatewayFedByListServiceServesWhileLeaderIsKilled() throws Exception {
+        TestRun.Result result = run("""
                 name = "fed"
                 seconds = 5
                 settle_s = 0
@@ -127,16 +127,16 @@
                 process = "host-a-2"
                 at_s = 2
                 for_s = 1
-                """, 4, Variants.NONE);
-        assertTrue(outcome.held(), outcome.verdicts().toString());
-        assertTrue((Integer) outcome.figures().get("served") > 0, outcome.figures().toString());
+                """, 4, BrokenVariants.NONE);
+        assertTrue(result.held(), result.verdicts().toString());
+        assertTrue((Integer) result.figures().get("served") > 0, result.figures().toString());
     }
 
     /** One member is killed for good and one is frozen briefly: only the first may be removed, and all others must
         agree. */
     @Test
-    void membersAgreeOnWhoHasGone() throws Exception {
-        Play.Outcome outcome = play("""
+    void membersAgreeOnAKilledMember() throws Exception {
+        TestRun.Result result = run("""
                 name = "present"
                 seconds = 4
                 settle_s = 0
@@ -155,22 +155,22 @@
                 process = "member-b-1"
                 at_s = 1
                 for_s = 0.5
-                """, 5, Variants.NONE);
-        assertTrue(outcome.held(), outcome.verdicts().toString());
+                """, 5, BrokenVariants.NONE);
+        assertTrue(result.held(), result.verdicts().toString());
     }
 
     @Test
-    void aServiceThatGivesARevisionTwiceIsCaught() throws Exception {
-        Play.Outcome outcome = play(REGISTRY, 3, Variants.REVISION_REUSED);
-        assertFalse(outcome.held(), outcome.verdicts().toString());
+    void revisionAssignedTwiceIsDetected() throws Exception {
+        TestRun.Result result = run(REGISTRY, 3, BrokenVariants.REVISION_REUSED);
+        assertFalse(result.held(), result.verdicts().toString());
     }
 
     /** Guards against processes that outlive a rig that was killed: the process reaper must end them. */
     @Test
-    void whatTheRigStartedEndsWithIt() throws Exception {
+    void processesEndWhenTheRigIsKilled() throws Exception {
         Path pid = folder.resolve("pid");
         Process rig = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-cp",
-                System.getProperty("java.class.path"), Doomed.class.getName(), pid.toString()).inheritIO().start();
+                System.getProperty("java.class.path"), KilledRig.class.getName(), pid.toString()).inheritIO().start();
         for (int i = 0; i < 6000 && !(Files.exists(pid) && Files.size(pid) > 0); i++) {
             Thread.sleep(10);
         }
@@ -182,22 +182,22 @@
     }
 
     /** Main class of a rig that starts a long-running process and waits to be killed. */
-    static final class Doomed {
+    static final class KilledRig {
 
         public static void main(String[] args) throws IOException, InterruptedException {
             Path folder = Path.of(args[0]).getParent();
-            Program program = new Program(new Program.Spec("long", List.of("sleep", "600"), java.util.Map.of(),
-                    folder.resolve("long"), folder), new Warden());
-            program.start();
-            Path beside = Path.of(args[0] + ".part");
-            Files.writeString(beside, Long.toString(program.pid()));
-            Files.move(beside, Path.of(args[0]));
+            ManagedProcess process = new ManagedProcess(new ManagedProcess.Spec("long", List.of("sleep", "600"),
+                    java.util.Map.of(), folder.resolve("long"), folder), new ProcessReaper());
+            process.start();
+            Path partFile = Path.of(args[0] + ".part");
+            Files.writeString(partFile, Long.toString(process.pid()));
+            Files.move(partFile, Path.of(args[0]));
             Thread.sleep(600_000);
         }
     }
 
     @Test
-    void misuseHasAStatusOfItsOwn() throws Exception {
+    void misuseExitsWithItsOwnStatus() throws Exception {
         Path plan = folder.resolve("odd.toml");
         Files.writeString(plan, "nmae = \"x\"\n");
         StringWriter err = new StringWriter();
