--- a/rig/src/main/c/syscall_faults.c
+++ b/rig/src/main/c/syscall_faults.c
@@ -8,15 +8,16 @@
  *
  *   call      accept, socket, connect, connect_result, read, write, epoll_add (EPOLL_CTL_ADD), epoll_wait, eventfd_read,
  *             eventfd_write, poll, setsockopt, getsockopt, shutdown, close, open, open_anywhere, fsync, clock
- *   error     the name of an errno value, or SHORT (transfers at most `argument` bytes), EOF (end of stream), DELAY (waits
- *             `argument` milliseconds, then makes the call), STEP (the real-time clock is off by `argument` milliseconds)
+ *   error     the name of an errno value, or SHORT (transfers at most `argument` bytes), EOF (end of stream), DELAY
+ *             (waits `argument` milliseconds, then makes the call), STEP (the real-time clock is off by `argument`
+ *             milliseconds)
  *   rate      the probability that a matching call is affected
  *   side      client (accepted sockets), upstream (connected sockets), any (all descriptors but the log), or log (standard
  *             output and error)
  *   argument  an integer, 0 if the error has none
  *
- * open fails only for files in the folder named by SYSCALL_FOLDER, so that the virtual machine's own files are not affected.
- * open_anywhere fails for all files, as when no descriptor is left.
+ * open fails only for files in the folder named by SYSCALL_FOLDER, so that the virtual machine's own files are not
+ * affected. open_anywhere fails for all files, as when no descriptor is left.
  *
  * The writer changes the first line last, so that a rule is never read while it is being written. Each injected fault is
  * appended to the file named by SYSCALL_LOG: CLOCK_MONOTONIC in microseconds, call, error, descriptor.
@@ -196,7 +197,7 @@
     }
 }
 
-/* Whether a rule makes this call fail, and which. A DELAY is carried out here, and 0 returned, so that the call is made. */
+/* Whether a rule makes this call fail, and which. After a DELAY, which is carried out here, the call is made. */
 static int find_rule(int call, int descriptor, struct rule *found)
 {
     if (control == NULL) {
