--- a/cli/src/main/java/mastdrift/cli/Springspar.java
+++ b/cli/src/main/java/mastdrift/cli/Springspar.java
@@ -21,9 +21,10 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** The command for staff. Exit status: 0 yes, 1 the gateway says no or a wait ran out, 2 misuse, 3 nobody answers. */
+/** The operators' command. Exit status: 0 success, 1 the gateway refused or a wait timed out, 2 wrong usage or another
+    error, 3 no answer from the gateway. */
 @Command(name = "springspar", mixinStandardHelpOptions = true, version = "0.1.0", synopsisSubcommandLabel = "COMMAND",
-        description = "Starts a gateway and what goes with it, and calls them.",
+        description = "Starts and controls gateways and the services that they use.",
         subcommands = {Springspar.Serve.class, Springspar.Adapter.class, Springspar.Status.class, Springspar.Metrics.class,
             Springspar.Standby.class, Springspar.Active.class, Springspar.Drain.class, Springspar.Completion.class,
             Commands.Registry.class, Commands.StartAgent.class, Commands.Endpoints.class, DutyCommands.Duty.class,
@@ -31,10 +32,10 @@
             CommandLine.HelpCommand.class})
 public final class Springspar implements Runnable {
 
-    static final int YES = 0;
-    static final int NO = 1;
-    static final int MISUSED = 2;
-    static final int NOBODY = 3;
+    static final int EXIT_SUCCESS = 0;
+    static final int EXIT_FAILURE = 1;
+    static final int EXIT_USAGE = 2;
+    static final int EXIT_UNREACHABLE = 3;
 
     private final Map<String, String> environment;
     @Spec
@@ -44,23 +45,24 @@
         this.environment = environment;
     }
 
-    /** Runs and exits with the status. */
+    /** Runs the command, and exits with its status unless that is 0. */
     public static void main(String[] args) {
         mastdrift.registry.Main.logToOutput();
         int status = run(args, System.getenv(), new PrintWriter(System.out, true, StandardCharsets.UTF_8),
                 new PrintWriter(System.err, true, StandardCharsets.UTF_8));
-        if (status != YES) {
-            System.exit(status);  // a gateway that was started here goes on
+        if (status != EXIT_SUCCESS) {
+            System.exit(status);  // not on success: a server started by the command has to keep running
         }
     }
 
-    /** As {@link #main}, in the given surroundings; returns the exit status. */
+    /** Runs the command with the given environment and output; returns the exit status. */
     static int run(String[] args, Map<String, String> environment, PrintWriter out, PrintWriter err) {
         return new CommandLine(new Springspar(environment)).setOut(out).setErr(err)
-                .setExecutionExceptionHandler((fault, command, parsed) -> {
-                    command.getErr().println(fault instanceof Calls.NoAnswer || fault instanceof IllegalArgumentException
-                            ? fault.getMessage() : fault.toString());
-                    return fault instanceof Calls.NoAnswer ? NOBODY : MISUSED;
+                .setExecutionExceptionHandler((exception, command, parsed) -> {
+                    command.getErr().println(exception instanceof AdminClient.GatewayUnreachableException
+                            || exception instanceof IllegalArgumentException
+                            ? exception.getMessage() : exception.toString());
+                    return exception instanceof AdminClient.GatewayUnreachableException ? EXIT_UNREACHABLE : EXIT_USAGE;
                 }).execute(args);
     }
 
@@ -69,44 +71,45 @@
         throw new CommandLine.ParameterException(spec.commandLine(), "a command is needed");
     }
 
-    /** What all calls take. */
-    static final class Calling {
+    /** The options and output of the commands that call a gateway's admin address. */
+    static final class AdminOptions {
 
         @Option(names = "--admin", paramLabel = "ADDRESS:PORT",
-                description = "where operators call (default: $NODE_ADMIN, else admin in $NODE_CONFIG)")
+                description = "the gateway's admin address (default: $NODE_ADMIN, else admin in $NODE_CONFIG)")
         private String admin;
 
-        @Option(names = "--json", description = "as JSON, for scripts")
+        @Option(names = "--json", description = "print JSON, for scripts")
         private boolean json;
 
         @Spec(Spec.Target.MIXEE)
         private CommandSpec spec;
 
-        Calls calls() throws Calls.NoAnswer {
-            return Calls.to(admin, ((Springspar) spec.root().userObject()).environment);
+        AdminClient client() throws AdminClient.GatewayUnreachableException {
+            return AdminClient.create(admin, ((Springspar) spec.root().userObject()).environment);
         }
 
         PrintWriter out() {
             return spec.commandLine().getOut();
         }
 
-        /** A line, or the same as an object. */
-        void tell(String line, Map<String, ?> object) throws IOException {
+        /** Prints the line, or with --json the object. */
+        void print(String line, Map<String, ?> object) throws IOException {
             out().println(json ? JSON.std.asString(object) : line);
         }
 
-        int tell(Calls calls, Calls.Answer answer) throws IOException {
+        int print(AdminClient client, AdminClient.Response response) throws IOException {
             Map<String, Object> object = new LinkedHashMap<>();
-            object.put("address", calls.address());
-            object.put("yes", answer.yes());
-            object.put("status", answer.status());
-            object.put("answer", answer.body());
-            tell(answer.body(), object);
-            return answer.yes() ? YES : NO;
+            object.put("address", client.address());
+            object.put("yes", response.isSuccess());
+            object.put("status", response.status());
+            object.put("answer", response.body());
+            print(response.body(), object);
+            return response.isSuccess() ? EXIT_SUCCESS : EXIT_FAILURE;
         }
     }
 
-    @Command(name = "serve", description = "Starts a gateway, as 'run' in the deploy file does; it reads its environment.")
+    @Command(name = "serve",
+            description = "Starts a gateway, as 'run' in the deploy file does; configured by the environment.")
     static final class Serve implements Runnable {
         @Override
         public void run() {
@@ -114,117 +117,120 @@
         }
     }
 
-    @Command(name = "adapter", description = "Speaks the simulator's wire on standard input and output.")
+    @Command(name = "adapter", description = "Speaks the simulator's protocol on standard input and output.")
     static final class Adapter implements Callable<Integer> {
         @Override
         public Integer call() throws IOException {
             mastdrift.wire.Main.main(new String[] {"adapter"});
-            return YES;
+            return EXIT_SUCCESS;
         }
     }
 
-    /** Asks once, and tells the answer. */
-    abstract static class OneCall implements Callable<Integer> {
+    /** A command that sends one request to the gateway and prints the response. */
+    abstract static class AdminCommand implements Callable<Integer> {
 
         @Mixin
-        private Calling calling;
+        private AdminOptions options;
 
-        abstract Calls.Answer ask(Calls calls) throws Calls.NoAnswer;
+        abstract AdminClient.Response send(AdminClient client) throws AdminClient.GatewayUnreachableException;
 
         @Override
         public Integer call() throws Exception {
-            Calls calls = calling.calls();
-            return calling.tell(calls, ask(calls));
+            AdminClient client = options.client();
+            return options.print(client, send(client));
         }
     }
 
-    @Command(name = "status", mixinStandardHelpOptions = true, description = "Tells whether the gateway is ready to serve.")
-    static final class Status extends OneCall {
+    @Command(name = "status", mixinStandardHelpOptions = true,
+            description = "Shows whether the gateway is ready to serve.")
+    static final class Status extends AdminCommand {
         @Override
-        Calls.Answer ask(Calls calls) throws Calls.NoAnswer {
-            return calls.get("/status");
+        AdminClient.Response send(AdminClient client) throws AdminClient.GatewayUnreachableException {
+            return client.get("/status");
         }
     }
 
-    @Command(name = "metrics", mixinStandardHelpOptions = true, description = "Tells the figures.")
+    @Command(name = "metrics", mixinStandardHelpOptions = true, description = "Prints the gateway's metrics.")
     static final class Metrics implements Callable<Integer> {
 
         @Mixin
-        private Calling calling;
+        private AdminOptions options;
 
         @Override
         public Integer call() throws Exception {
-            Calls.Answer answer = calling.calls().get("/status/metrics");
-            if (!calling.json || !answer.yes()) {
-                calling.out().println(answer.body());
-                return answer.yes() ? YES : NO;
+            AdminClient.Response response = options.client().get("/status/metrics");
+            if (!options.json || !response.isSuccess()) {
+                options.out().println(response.body());
+                return response.isSuccess() ? EXIT_SUCCESS : EXIT_FAILURE;
             }
-            List<Map<String, Object>> figures = Samples.of(answer.body()).stream().map(sample -> {
-                Map<String, Object> figure = new LinkedHashMap<>();
-                figure.put("name", sample.name());
-                figure.put("labels", sample.labels());
-                figure.put("value", sample.value());
-                return figure;
+            List<Map<String, Object>> samples = PrometheusText.parse(response.body()).stream().map(sample -> {
+                Map<String, Object> object = new LinkedHashMap<>();
+                object.put("name", sample.name());
+                object.put("labels", sample.labels());
+                object.put("value", sample.value());
+                return object;
             }).toList();
-            calling.out().println(JSON.std.asString(figures));
-            return YES;
+            options.out().println(JSON.std.asString(samples));
+            return EXIT_SUCCESS;
         }
     }
 
-    @Command(name = "standby", mixinStandardHelpOptions = true, description = "Drains the gateway; nothing restarts.")
-    static final class Standby extends OneCall {
+    @Command(name = "standby", mixinStandardHelpOptions = true, description = "Drains the gateway without stopping it.")
+    static final class Standby extends AdminCommand {
         @Override
-        Calls.Answer ask(Calls calls) throws Calls.NoAnswer {
-            return calls.post("/standby");
+        AdminClient.Response send(AdminClient client) throws AdminClient.GatewayUnreachableException {
+            return client.post("/standby");
         }
     }
 
-    @Command(name = "active", mixinStandardHelpOptions = true, description = "Takes the gateway back to work.")
-    static final class Active extends OneCall {
+    @Command(name = "active", mixinStandardHelpOptions = true,
+            description = "Puts a drained gateway back into service.")
+    static final class Active extends AdminCommand {
         @Override
-        Calls.Answer ask(Calls calls) throws Calls.NoAnswer {
-            return calls.post("/active");
+        AdminClient.Response send(AdminClient client) throws AdminClient.GatewayUnreachableException {
+            return client.post("/active");
         }
     }
 
     @Command(name = "drain", mixinStandardHelpOptions = true,
-            description = "Drains the gateway, and with --wait until it has no request any more.")
+            description = "Drains the gateway; with --wait, waits until no request is left.")
     static final class Drain implements Callable<Integer> {
 
-        private static final int LOOK_MILLIS = 200;
-        private static final int QUIET_LOOKS = 3;  // figures lag by up to half a second
+        private static final int POLL_INTERVAL_MILLIS = 200;
+        private static final int CONSECUTIVE_ZERO_READINGS = 3;  // the gauge lags by up to 0.5 s
 
         @Mixin
-        private Calling calling;
+        private AdminOptions options;
 
-        @Option(names = "--wait", description = "until nothing has been in flight for 0.6 s")
+        @Option(names = "--wait", description = "wait until no request has been in flight for 0.6 s")
         private boolean wait;
 
         @Option(names = "--timeout", paramLabel = "SECONDS", defaultValue = "10",
-                description = "wait no longer (default: ${DEFAULT-VALUE})")
+                description = "how long to wait at most (default: ${DEFAULT-VALUE})")
         private double timeout;
 
         @Override
         public Integer call() throws Exception {
-            Calls calls = calling.calls();
-            Calls.Answer answer = calls.post("/standby");
-            if (!answer.yes() || !wait) {
-                return calling.tell(calls, answer);
+            AdminClient client = options.client();
+            AdminClient.Response response = client.post("/standby");
+            if (!response.isSuccess() || !wait) {
+                return options.print(client, response);
             }
-            long until = System.nanoTime() + (long) (timeout * 1e9);
+            long deadlineNanos = System.nanoTime() + (long) (timeout * 1e9);
             double inFlight = Double.NaN;
-            for (int quiet = 0; quiet < QUIET_LOOKS;) {
-                inFlight = Samples.sum(Samples.of(calls.get("/status/metrics").body()), "edge_node_in_flight");
-                quiet = inFlight == 0 ? quiet + 1 : 0;
-                if (quiet < QUIET_LOOKS && System.nanoTime() > until) {
-                    calling.tell(String.format(Locale.ROOT, "still %.0f in flight after %.1f s", inFlight, timeout),
+            for (int zeroReadings = 0; zeroReadings < CONSECUTIVE_ZERO_READINGS;) {
+                inFlight = PrometheusText.sum(PrometheusText.parse(client.get("/status/metrics").body()),
+                        "edge_node_in_flight");
+                zeroReadings = inFlight == 0 ? zeroReadings + 1 : 0;
+                if (zeroReadings < CONSECUTIVE_ZERO_READINGS && System.nanoTime() > deadlineNanos) {
+                    options.print(String.format(Locale.ROOT, "still %.0f in flight after %.1f s", inFlight, timeout),
                             Map.of("drained", false, "in_flight", inFlight));
-                    return NO;
+                    return EXIT_FAILURE;
                 }
-                Thread.sleep(LOOK_MILLIS);
+                Thread.sleep(POLL_INTERVAL_MILLIS);
             }
-            calling.tell("drained", Map.of("drained", true, "in_flight", inFlight));
-            return YES;
+            options.print("drained", Map.of("drained", true, "in_flight", inFlight));
+            return EXIT_SUCCESS;
         }
     }
 
--- a/cli/src/test/java/mastdrift/cli/SpringsparTest.java
+++ b/cli/src/test/java/mastdrift/cli/SpringsparTest.java
@@ -24,26 +24,26 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The command against a stand-in for a gateway's second address. */
+/** Runs the command against a fake of a gateway's admin address. */
 class SpringsparTest {
 
     @TempDir
-    private Path folder;
+    private Path directory;
     private final StringWriter out = new StringWriter();
     private final StringWriter err = new StringWriter();
-    private final Queue<String> asked = new ConcurrentLinkedQueue<>();
+    private final Queue<String> receivedRequests = new ConcurrentLinkedQueue<>();
     private final Queue<Integer> inFlight = new ConcurrentLinkedQueue<>();
     private HttpServer server;
     private String state = "active";
     private String admin;
 
     @BeforeEach
-    void listen() throws IOException {
+    void startServer() throws IOException {
         server = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 0);
         server.createContext("/", exchange -> {
-            String line = exchange.getRequestMethod() + " " + exchange.getRequestURI().getPath();
-            asked.add(line);
-            String body = switch (line) {
+            String requestLine = exchange.getRequestMethod() + " " + exchange.getRequestURI().getPath();
+            receivedRequests.add(requestLine);
+            String body = switch (requestLine) {
                 case "GET /status" -> state;
                 case "GET /status/metrics" -> "# HELP edge_node_in_flight Requests.\nedge_node_in_flight " + (inFlight.size() > 1 ? inFlight.poll() : inFlight.peek())
                         + "\nedge_node_requests_total{class=\"a\\\"b\",outcome=\"served\"} 812\n";
@@ -60,69 +60,72 @@
     }
 
     @AfterEach
-    void close() {
+    void stopServer() {
         server.stop(0);
     }
 
-    private int springspar(Map<String, String> environment, String... args) {
+    private int runCommand(Map<String, String> environment, String... args) {
         return Springspar.run(args, environment, new PrintWriter(out, true), new PrintWriter(err, true));
     }
 
     @Test
-    void aStatusIsToldAndANoIsStatus1() {
-        assertEquals(Springspar.YES, springspar(Map.of(), "status", "--admin", admin));
+    void statusPrintsTheAnswerAndExitsWith1WhenNotActive() {
+        assertEquals(Springspar.EXIT_SUCCESS, runCommand(Map.of(), "status", "--admin", admin));
         assertEquals("active", out.toString().strip());
         state = "standby";
-        assertEquals(Springspar.NO, springspar(Map.of(), "status", "--admin", admin, "--json"));
+        assertEquals(Springspar.EXIT_FAILURE, runCommand(Map.of(), "status", "--admin", admin, "--json"));
         assertTrue(out.toString().contains("{\"address\":\"" + admin + "\",\"yes\":false,\"status\":503,\"answer\":\"standby\"}"),
                 out.toString());
     }
 
-    /** What is given goes before the environment, and that before the file. */
+    /** The option takes precedence over the environment, and the environment over the configuration file. */
     @Test
-    void theAddressIsFoundWhereItIsTold() throws IOException {
-        Path file = Files.writeString(folder.resolve("config.json"), "{\"admin\":\"" + admin + "\"}");
-        Map<String, String> told = Map.of("NODE_CONFIG", file.toString());
-        assertEquals(Springspar.YES, springspar(told, "standby"));
-        assertEquals(Springspar.YES, springspar(Map.of("NODE_CONFIG", "/none", "NODE_ADMIN", admin), "active"));
-        assertEquals(Springspar.YES, springspar(Map.of("NODE_ADMIN", "127.0.0.1:1"), "status", "--admin", admin));
-        assertEquals(List.of("POST /standby", "POST /active", "GET /status"), List.copyOf(asked));
+    void adminAddressIsTakenFromOptionThenEnvironmentThenFile() throws IOException {
+        Path file = Files.writeString(directory.resolve("config.json"), "{\"admin\":\"" + admin + "\"}");
+        Map<String, String> environment = Map.of("NODE_CONFIG", file.toString());
+        assertEquals(Springspar.EXIT_SUCCESS, runCommand(environment, "standby"));
+        assertEquals(Springspar.EXIT_SUCCESS,
+                runCommand(Map.of("NODE_CONFIG", "/none", "NODE_ADMIN", admin), "active"));
+        assertEquals(Springspar.EXIT_SUCCESS,
+                runCommand(Map.of("NODE_ADMIN", "127.0.0.1:1"), "status", "--admin", admin));
+        assertEquals(List.of("POST /standby", "POST /active", "GET /status"), List.copyOf(receivedRequests));
         Files.writeString(file, "{}");
-        assertEquals(Springspar.NOBODY, springspar(told, "status"));
+        assertEquals(Springspar.EXIT_UNREACHABLE, runCommand(environment, "status"));
         assertTrue(err.toString().contains("names no admin"), err.toString());
     }
 
     @Test
-    void figuresAreToldAsTheyCameOrAsJson() {
+    void metricsArePrintedAsReceivedOrAsJson() {
         inFlight.add(14);
-        assertEquals(Springspar.YES, springspar(Map.of(), "metrics", "--admin", admin));
+        assertEquals(Springspar.EXIT_SUCCESS, runCommand(Map.of(), "metrics", "--admin", admin));
         assertTrue(out.toString().contains("edge_node_in_flight 14"));
-        assertEquals(Springspar.YES, springspar(Map.of(), "metrics", "--admin", admin, "--json"));
+        assertEquals(Springspar.EXIT_SUCCESS, runCommand(Map.of(), "metrics", "--admin", admin, "--json"));
         assertTrue(out.toString().contains("{\"name\":\"edge_node_requests_total\",\"labels\":{\"class\":\"a\\\"b\","
                 + "\"outcome\":\"served\"},\"value\":812.0}"), out.toString());
     }
 
-    /** Guards against a drain that is held to be over by one look at figures that lag. */
+    /** Guards against reporting a drain as complete after a single zero reading of a gauge that lags. */
     @Test
-    void aDrainWaitsUntilNothingHasBeenInFlightForAWhile() {
+    void drainDoesNotEndAtTheFirstZeroInFlight() {
         inFlight.addAll(List.of(3, 0, 2, 0, 0, 0));
-        assertEquals(Springspar.YES, springspar(Map.of(), "drain", "--wait", "--admin", admin));
+        assertEquals(Springspar.EXIT_SUCCESS, runCommand(Map.of(), "drain", "--wait", "--admin", admin));
         assertEquals("drained", out.toString().strip());
-        assertEquals("POST /standby", asked.peek());
-        assertEquals(1 + 6, asked.size());
+        assertEquals("POST /standby", receivedRequests.peek());
+        assertEquals(1 + 6, receivedRequests.size());
     }
 
     @Test
-    void aDrainThatDoesNotEndIsStatus1() {
+    void drainThatTimesOutExitsWith1() {
         inFlight.add(3);
-        assertEquals(Springspar.NO, springspar(Map.of(), "drain", "--wait", "--timeout", "0", "--admin", admin));
+        assertEquals(Springspar.EXIT_FAILURE,
+                runCommand(Map.of(), "drain", "--wait", "--timeout", "0", "--admin", admin));
         assertEquals("still 3 in flight after 0.0 s", out.toString().strip());
     }
 
     @Test
-    void nobodyThereIsOnePlainLineAndStatus3() {
+    void unreachableGatewayPrintsOneLineAndExitsWith3() {
         server.stop(0);
-        assertEquals(Springspar.NOBODY, springspar(Map.of(), "status", "--admin", admin));
+        assertEquals(Springspar.EXIT_UNREACHABLE, runCommand(Map.of(), "status", "--admin", admin));
         assertEquals(1, err.toString().strip().lines().count(), err.toString());
         assertTrue(err.toString().startsWith("no answer from " + admin), err.toString());
     }
@@ -130,22 +133,23 @@
     @ParameterizedTest
     @CsvSource(delimiter = '|', value = {"'' | a command is needed", "fly | Unmatched argument", "status --admin here | address:port",
         "status --admim x | Unknown option", "drain --timeout soon | Invalid value"})
-    void misuseIsStatus2(String line, String expected) {
-        assertEquals(Springspar.MISUSED, springspar(Map.of(), line.isEmpty() ? new String[0] : line.split(" ")));
+    void invalidArgumentsExitWith2(String arguments, String expected) {
+        assertEquals(Springspar.EXIT_USAGE,
+                runCommand(Map.of(), arguments.isEmpty() ? new String[0] : arguments.split(" ")));
         assertTrue(err.toString().contains(expected), err.toString());
     }
 
     @Test
-    void theCompletionScriptKnowsTheCommands() {
-        assertEquals(Springspar.YES, springspar(Map.of(), "completion"));
+    void completionScriptContainsCommandsAndOptions() {
+        assertEquals(Springspar.EXIT_SUCCESS, runCommand(Map.of(), "completion"));
         assertTrue(out.toString().contains("drain") && out.toString().contains("--timeout"));
     }
 
     @Test
-    void whatIsNoFigureIsNamed() {
-        assertEquals(Double.POSITIVE_INFINITY, Samples.of("a{le=\"+Inf\"} +Inf 1700").get(0).value());
-        assertThrows(IllegalArgumentException.class, () -> Samples.of("a{b=c} 1"));
-        assertThrows(IllegalArgumentException.class, () -> Samples.of("a one"));
-        assertThrows(IllegalArgumentException.class, () -> Samples.of("{} 1"));
+    void malformedSamplesAreRejected() {
+        assertEquals(Double.POSITIVE_INFINITY, PrometheusText.parse("a{le=\"+Inf\"} +Inf 1700").get(0).value());
+        assertThrows(IllegalArgumentException.class, () -> PrometheusText.parse("a{b=c} 1"));
+        assertThrows(IllegalArgumentException.class, () -> PrometheusText.parse("a one"));
+        assertThrows(IllegalArgumentException.class, () -> PrometheusText.parse("{} 1"));
     }
 }
--- a/common/src/main/java/mastdrift/common/AcceptRetry.java
+++ b/common/src/main/java/mastdrift/common/AcceptRetry.java
@@ -4,8 +4,9 @@
 import io.netty.channel.ChannelInboundHandlerAdapter;
 import java.util.concurrent.TimeUnit;
 
-/** Accepts again some milliseconds after a failed call (no descriptor left, say), where the library would rest for a second and
-    leave all who wait in the queue. For a listening socket that accepts all the time. */
+/** Resumes accepting a few milliseconds after a failed accept, for example when no file descriptor is left. By default
+    Netty pauses for a second, while new connections wait in the listen queue. For a listening socket that has auto-read
+    on. */
 final class AcceptRetry extends ChannelInboundHandlerAdapter {
 
     static final long RETRY_MILLIS = 5;
--- a/common/src/main/java/mastdrift/common/Backoff.java
+++ b/common/src/main/java/mastdrift/common/Backoff.java
@@ -2,31 +2,32 @@
 
 import java.util.function.DoubleSupplier;
 
-/** Pauses between tries with decorrelated jitter (Brooker, "Exponential Backoff and Jitter", 2015): each is drawn evenly
-    between the least and three times the one before, so that many who failed together do not come back together. */
+/** Exponential backoff with decorrelated jitter (Brooker, "Exponential Backoff and Jitter", 2015): each pause is drawn
+    uniformly between the minimum and three times the previous pause, and capped at the maximum, so that clients that
+    failed at the same time do not retry at the same time. */
 public final class Backoff {
 
-    private final long least;
-    private final long most;
-    private final DoubleSupplier unit;
-    private long last;
+    private final long minimum;
+    private final long maximum;
+    private final DoubleSupplier random;
+    private long lastPause;
 
-    /** Spans in any one unit, which {@link #next} has as well; {@code unit} draws from [0, 1). */
-    public Backoff(long least, long most, DoubleSupplier unit) {
-        this.least = least;
-        this.most = most;
-        this.unit = unit;
-        last = least;
+    /** The minimum and maximum pause, in the unit that {@link #next} returns; {@code random} draws from [0, 1). */
+    public Backoff(long minimum, long maximum, DoubleSupplier random) {
+        this.minimum = minimum;
+        this.maximum = maximum;
+        this.random = random;
+        lastPause = minimum;
     }
 
-    /** The next pause. */
+    /** Returns the pause before the next retry. */
     public long next() {
-        last = Math.min(most, least + (long) (unit.getAsDouble() * (3 * last - least)));
-        return last;
+        lastPause = Math.min(maximum, minimum + (long) (random.getAsDouble() * (3 * lastPause - minimum)));
+        return lastPause;
     }
 
-    /** After a success. */
+    /** Starts again from the minimum; to be called after a success. */
     public void reset() {
-        last = least;
+        lastPause = minimum;
     }
 }
--- a/common/src/main/java/mastdrift/common/Clock.java
+++ b/common/src/main/java/mastdrift/common/Clock.java
@@ -1,16 +1,16 @@
 package mastdrift.common;
 
-/** Time as a process sees it. Every part of ours that reads time is given one, so that it runs in simulated time too and
-    the rig can make a process's clock wrong. */
+/** The source of time for a process. Code that reads time is given a Clock, so that it can also run in simulated time
+    and the fault-injection rig can set a process's clock wrong. */
 public interface Clock {
 
-    /** Microseconds that go on evenly and are never set; they say nothing across processes. */
+    /** Returns microseconds of a monotonic clock; the values of different processes are not comparable. */
     long monotonicMicros();
 
-    /** Milliseconds of Unix time; may jump. */
+    /** Returns milliseconds of Unix time; may jump forwards or backwards. */
     long wallMillis();
 
-    /** The machine's own. */
+    /** The machine's clocks. */
     Clock SYSTEM = new Clock() {
         @Override
         public long monotonicMicros() {
--- a/common/src/main/java/mastdrift/common/Disk.java
+++ b/common/src/main/java/mastdrift/common/Disk.java
@@ -9,59 +9,62 @@
 import java.nio.file.StandardOpenOption;
 import java.util.zip.CRC32C;
 
-/** Whole files that hold: written beside, synced, renamed into place, with a checksum in front. What was cut short or
-    flipped is refused by name. The rig puts a failing one in its place. */
+/** Reads and replaces whole files atomically and durably: the content is written to a temporary file with a checksum,
+    synced and renamed. A truncated or corrupted file is rejected. Fault injection overrides {@link #writeFully}. */
 public class Disk {
 
     private static final int MAGIC = 0x53505331;  // "SPS1"
-    private static final int HEADER = 16;
+    private static final int HEADER_BYTES = 16;
 
-    /** Replaces the file; throws IOException where it can't be, and then the old one stands. */
+    /** Replaces the file. Throws IOException if that fails; the old file is then left as it was, unless only the last
+        step failed, the sync of the directory. */
     public void write(Path file, byte[] content) throws IOException {
-        Path beside = file.resolveSibling(file.getFileName() + ".part");
-        ByteBuffer all = ByteBuffer.allocate(HEADER + content.length).putInt(MAGIC).putInt(content.length)
-                .putLong(sum(content)).put(content).flip();
-        try (FileChannel to = FileChannel.open(beside, StandardOpenOption.CREATE, StandardOpenOption.WRITE,
+        Path temporaryFile = file.resolveSibling(file.getFileName() + ".part");
+        ByteBuffer buffer = ByteBuffer.allocate(HEADER_BYTES + content.length).putInt(MAGIC).putInt(content.length)
+                .putLong(checksum(content)).put(content).flip();
+        try (FileChannel channel = FileChannel.open(temporaryFile, StandardOpenOption.CREATE, StandardOpenOption.WRITE,
                 StandardOpenOption.TRUNCATE_EXISTING)) {
-            writeFully(to, all);
-            to.force(true);
+            writeFully(channel, buffer);
+            channel.force(true);
         }
-        Files.move(beside, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
-        Path folder = file.toAbsolutePath().getParent();
-        try (FileChannel names = FileChannel.open(folder, StandardOpenOption.READ)) {
-            names.force(true);  // the new name, too, has to outlast a power cut
+        Files.move(temporaryFile, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+        Path directory = file.toAbsolutePath().getParent();
+        try (FileChannel directoryChannel = FileChannel.open(directory, StandardOpenOption.READ)) {
+            directoryChannel.force(true);  // makes the rename survive a power failure
         }
     }
 
-    /** Where a full or failing disk shows. */
-    protected void writeFully(FileChannel to, ByteBuffer all) throws IOException {
-        while (all.hasRemaining()) {
-            to.write(all);
+    /** Writes the whole buffer; an overriding method can simulate a full or failing disk. */
+    protected void writeFully(FileChannel channel, ByteBuffer buffer) throws IOException {
+        while (buffer.hasRemaining()) {
+            channel.write(buffer);
         }
     }
 
-    /** What was written last; null where there is no file. Throws IOException that names the file where it is spoilt. */
+    /** Returns the content, or null if the file does not exist. Throws IOException with the file name in its message if
+        the file is truncated or corrupted. */
     public byte[] read(Path file) throws IOException {
         if (!Files.exists(file)) {
             return null;
         }
-        ByteBuffer all = ByteBuffer.wrap(Files.readAllBytes(file));
-        if (all.remaining() < HEADER || all.getInt() != MAGIC) {
-            throw new IOException(file + " is spoilt: its head is not that of a file of ours");
+        ByteBuffer buffer = ByteBuffer.wrap(Files.readAllBytes(file));
+        if (buffer.remaining() < HEADER_BYTES || buffer.getInt() != MAGIC) {
+            throw new IOException(file + " is spoilt: header missing or unknown");
         }
-        int length = all.getInt();
-        long sum = all.getLong();
-        byte[] content = new byte[all.remaining()];
-        all.get(content);
-        if (content.length != length || sum(content) != sum) {
-            throw new IOException(file + " is spoilt: " + content.length + " of " + length + " bytes, or flipped ones");
+        int length = buffer.getInt();
+        long checksum = buffer.getLong();
+        byte[] content = new byte[buffer.remaining()];
+        buffer.get(content);
+        if (content.length != length || checksum(content) != checksum) {
+            throw new IOException(file + " is spoilt: " + content.length + " of " + length
+                    + " bytes, or the checksum does not match");
         }
         return content;
     }
 
-    private static long sum(byte[] content) {
-        CRC32C sum = new CRC32C();
-        sum.update(content);
-        return sum.getValue();
+    private static long checksum(byte[] content) {
+        CRC32C crc = new CRC32C();
+        crc.update(content);
+        return crc.getValue();
     }
 }
--- a/common/src/main/java/mastdrift/common/HttpServer.java
+++ b/common/src/main/java/mastdrift/common/HttpServer.java
@@ -36,47 +36,53 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 
-/** Plain HTTP/1.1 calls for our own processes, as operators' calls are: a message each, or a stream of lines. */
+/** A small HTTP/1.1 server without TLS, for calls between the project's own processes and by operators. A response is
+    one message, or a stream of lines. */
 public final class HttpServer implements AutoCloseable {
 
-    private static final int BODY_MOST = 16 << 20;
-    private static final int LOW_WATER = 32 << 10;
-    private static final int HIGH_WATER = 128 << 10;
+    private static final int MAX_BODY_BYTES = 16 << 20;
+    private static final int LOW_WATER_MARK_BYTES = 32 << 10;
+    private static final int HIGH_WATER_MARK_BYTES = 128 << 10;
 
-    /** What is done with a call, on the connection's event loop: it answers or streams, now or later. */
+    /** Handles a request on the connection's event loop; may respond, or start a stream, later.
+        An IllegalArgumentException is answered with status 400 and its message. */
     public interface Handler {
-        void handle(Exchange call) throws Exception;
+        void handle(Exchange exchange) throws Exception;
     }
 
     private final ChannelGroup connections = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
-    private final Channel server;
+    private final Channel serverChannel;
 
-    private HttpServer(EventLoopGroup loops, InetSocketAddress at, Handler handler) throws IOException {
-        ChannelFuture bound = new ServerBootstrap().group(loops).channel(NioServerSocketChannel.class)
+    private HttpServer(EventLoopGroup eventLoops, InetSocketAddress address, Handler handler) throws IOException {
+        ChannelFuture bindFuture = new ServerBootstrap().group(eventLoops).channel(NioServerSocketChannel.class)
                 .handler(new AcceptRetry())
                 .option(ChannelOption.SO_BACKLOG, 1024).option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
-                .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, new WriteBufferWaterMark(LOW_WATER, HIGH_WATER))
+                .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK,
+                        new WriteBufferWaterMark(LOW_WATER_MARK_BYTES, HIGH_WATER_MARK_BYTES))
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
                         connections.add(channel);
-                        channel.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(BODY_MOST, true),
-                                new Calls(handler));
+                        channel.pipeline().addLast(new HttpServerCodec(),
+                                new HttpObjectAggregator(MAX_BODY_BYTES, true), new RequestDispatcher(handler));
                     }
-                }).bind(at).awaitUninterruptibly();
-        if (!bound.isSuccess()) {
-            throw new IOException("no listening on " + at + ": " + bound.cause().getMessage(), bound.cause());
+                }).bind(address).awaitUninterruptibly();
+        if (!bindFuture.isSuccess()) {
+            throw new IOException("can't listen on " + address + ": " + bindFuture.cause().getMessage(),
+                    bindFuture.cause());
         }
-        server = bound.channel();
+        serverChannel = bindFuture.channel();
     }
 
-    /** Listens from now on; throws IOException that names an address that can't be listened on. */
-    public static HttpServer listen(EventLoopGroup loops, InetSocketAddress at, Handler handler) throws IOException {
-        return new HttpServer(loops, at, handler);
+    /** Starts a server; throws IOException with the address in its message if the address can't be bound. */
+    public static HttpServer listen(EventLoopGroup eventLoops, InetSocketAddress address, Handler handler)
+            throws IOException {
+        return new HttpServer(eventLoops, address, handler);
     }
 
-    /** Of the form {@code 127.0.0.1:80}, or with a name; throws IllegalArgumentException for anything else. */
+    /** Parses an address such as {@code 127.0.0.1:80} or {@code localhost:80}; throws IllegalArgumentException for text
+        of any other form. A host name is resolved at once. */
     public static InetSocketAddress parseAddress(String text) {
         int colon = text.lastIndexOf(':');
         try {
@@ -89,36 +95,36 @@
         throw new IllegalArgumentException("expected address:port, not " + text);
     }
 
-    /** The port it has, for those who asked for any. */
+    /** Returns the bound port, for servers that were started with port 0. */
     public int port() {
-        return ((InetSocketAddress) server.localAddress()).getPort();
+        return ((InetSocketAddress) serverChannel.localAddress()).getPort();
     }
 
-    /** Takes no connection any more, and ends those that there are. */
+    /** Stops listening and closes all connections. */
     @Override
     public void close() {
-        server.close().awaitUninterruptibly();
+        serverChannel.close().awaitUninterruptibly();
         connections.close().awaitUninterruptibly();
     }
 
-    /** One message that has come whole. */
+    /** A complete request and the means to respond to it. */
     public static final class Exchange {
 
         private final ChannelHandlerContext context;
-        private final boolean keep;
+        private final boolean keepAlive;
         private final String method;
         private final QueryStringDecoder uri;
         private final io.netty.handler.codec.http.HttpHeaders headers;
         private final byte[] body;
 
-        Exchange(ChannelHandlerContext context, FullHttpRequest message) {
+        Exchange(ChannelHandlerContext context, FullHttpRequest request) {
             this.context = context;
-            keep = HttpUtil.isKeepAlive(message);
-            method = message.method().name();
-            uri = new QueryStringDecoder(message.uri());
-            headers = message.headers();
-            body = new byte[message.content().readableBytes()];
-            message.content().readBytes(body);
+            keepAlive = HttpUtil.isKeepAlive(request);
+            method = request.method().name();
+            uri = new QueryStringDecoder(request.uri());
+            headers = request.headers();
+            body = new byte[request.content().readableBytes()];
+            request.content().readBytes(body);
         }
 
         public String method() {
@@ -129,23 +135,24 @@
             return uri.path();
         }
 
-        /** Null where the call's address has no such part. */
+        /** Returns the first value of a query parameter, or null if it is absent. */
         public String queryParameter(String name) {
             List<String> values = uri.parameters().get(name);
             return values == null ? null : values.get(0);
         }
 
-        /** A whole number of the call's address; throws IllegalArgumentException for what is none. */
-        public long queryLong(String name, long otherwise) {
+        /** Returns a query parameter as a whole number, or the default if it is absent; throws IllegalArgumentException
+            if it is not a whole number. */
+        public long queryLong(String name, long defaultValue) {
             String text = queryParameter(name);
             try {
-                return text == null ? otherwise : Long.parseLong(text);
+                return text == null ? defaultValue : Long.parseLong(text);
             } catch (NumberFormatException e) {
                 throw new IllegalArgumentException(name + ": expected a whole number, not " + text, e);
             }
         }
 
-        /** Null where there is none. */
+        /** Returns the value of a request header, or null if it is absent. */
         public String header(String name) {
             return headers.get(name);
         }
@@ -158,51 +165,53 @@
             return context.channel();
         }
 
-        /** Headers come as names and values in turn. From any thread, once. */
-        public void respond(int status, String type, String text, String... more) {
+        /** Sends the response; to be called once, from any thread. {@code extraHeaders} holds header names and values
+            alternately. */
+        public void respond(int status, String contentType, String text, String... extraHeaders) {
             ByteBuf content = Unpooled.copiedBuffer(text, StandardCharsets.UTF_8);
-            FullHttpResponse answer = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status),
-                    content);
-            answer.headers().set(HttpHeaderNames.CONTENT_TYPE, type)
+            FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
+                    HttpResponseStatus.valueOf(status), content);
+            response.headers().set(HttpHeaderNames.CONTENT_TYPE, contentType)
                     .setInt(HttpHeaderNames.CONTENT_LENGTH, content.readableBytes());
-            add(answer, more);
-            if (keep) {
-                context.writeAndFlush(answer);
+            addHeaders(response, extraHeaders);
+            if (keepAlive) {
+                context.writeAndFlush(response);
             } else {
-                answer.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
-                context.writeAndFlush(answer).addListener(ChannelFutureListener.CLOSE);
+                response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
+                context.writeAndFlush(response).addListener(ChannelFutureListener.CLOSE);
             }
         }
 
-        public void respondJson(int status, String text, String... more) {
-            respond(status, "application/json", text, more);
+        public void respondJson(int status, String json, String... extraHeaders) {
+            respond(status, "application/json", json, extraHeaders);
         }
 
-        private static void add(HttpResponse answer, String... more) {
-            for (int i = 0; i + 1 < more.length; i += 2) {
-                answer.headers().set(more[i], more[i + 1]);
+        private static void addHeaders(HttpResponse response, String... extraHeaders) {
+            for (int i = 0; i + 1 < extraHeaders.length; i += 2) {
+                response.headers().set(extraHeaders[i], extraHeaders[i + 1]);
             }
         }
 
-        /** Begins an answer of lines that stays open. */
+        /** Sends the head of a response with status 200 whose body is a stream of lines. */
         public LineStream startLineStream() {
-            HttpResponse answer = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
-            answer.headers().set(HttpHeaderNames.CONTENT_TYPE, "application/json");
-            HttpUtil.setTransferEncodingChunked(answer, true);
-            context.writeAndFlush(answer);
+            HttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
+            response.headers().set(HttpHeaderNames.CONTENT_TYPE, "application/json");
+            HttpUtil.setTransferEncodingChunked(response, true);
+            context.writeAndFlush(response);
             return new LineStream(context.channel());
         }
     }
 
-    /** A line that many are told: encoded once, and kept in memory once until the last of them has it. */
+    /** A line for many streams. It is encoded once, and all streams share one reference-counted buffer, which is freed
+        after the last of them has written it. */
     public static final class SharedLine {
 
         private final ByteBuf content;
 
-        /** Whoever makes it lets go of it once nobody new is to be told. */
+        /** The creator calls {@link #release} when it will write the line to no further stream. */
         public SharedLine(String text) {
             byte[] bytes = (text + "\n").getBytes(StandardCharsets.UTF_8);
-            // Outside the heap: from there each connection would take a copy on its way out.
+            // A direct buffer, since each connection would copy a heap buffer when it writes it.
             content = Unpooled.directBuffer(bytes.length, bytes.length).writeBytes(bytes);
         }
 
@@ -211,7 +220,7 @@
         }
     }
 
-    /** An answer of lines that stays open until one side ends it. */
+    /** A response made of lines, which stays open until either side closes it. */
     public static final class LineStream {
 
         private final Channel channel;
@@ -220,12 +229,13 @@
             this.channel = channel;
         }
 
-        /** Whether the reader keeps up: what is written all the same is kept in memory. */
+        /** False from when the buffered output exceeds the high water mark until it is below the low one. Lines written
+            meanwhile stay in memory until the client reads them. */
         public boolean isWritable() {
             return channel.isWritable();
         }
 
-        /** Bytes that the reader has to take until it keeps up. */
+        /** Returns the number of bytes that have to be sent before {@link #isWritable} is true again. */
         public long bytesUntilWritable() {
             return channel.bytesBeforeWritable();
         }
@@ -234,7 +244,7 @@
             channel.writeAndFlush(new DefaultHttpContent(Unpooled.copiedBuffer(text + "\n", StandardCharsets.UTF_8)));
         }
 
-        /** Of all readers that wait for the same, none has a copy of its own. */
+        /** Writes a shared line without copying it. */
         public void writeLine(SharedLine line) {
             channel.writeAndFlush(new DefaultHttpContent(line.content.retainedDuplicate()));
         }
@@ -243,35 +253,35 @@
             channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT).addListener(ChannelFutureListener.CLOSE);
         }
 
-        /** Without a proper end. */
+        /** Closes the connection without the terminating chunk, so that the client sees a truncated response. */
         public void abort() {
             channel.close();
         }
 
-        public void onClose(Runnable then) {
-            channel.closeFuture().addListener(ended -> then.run());
+        public void onClose(Runnable listener) {
+            channel.closeFuture().addListener(closed -> listener.run());
         }
     }
 
-    private static final class Calls extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private static final class RequestDispatcher extends SimpleChannelInboundHandler<FullHttpRequest> {
 
         private final Handler handler;
 
-        Calls(Handler handler) {
+        RequestDispatcher(Handler handler) {
             this.handler = handler;
         }
 
         @Override
-        protected void channelRead0(ChannelHandlerContext context, FullHttpRequest message) throws Exception {
-            Exchange call = new Exchange(context, message);
-            if (message.decoderResult().isFailure()) {
-                call.respondJson(400, "{\"error\":\"not a call\"}");
+        protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) throws Exception {
+            Exchange exchange = new Exchange(context, request);
+            if (request.decoderResult().isFailure()) {
+                exchange.respondJson(400, "{\"error\":\"not a call\"}");
                 return;
             }
             try {
-                handler.handle(call);
+                handler.handle(exchange);
             } catch (IllegalArgumentException e) {
-                call.respondJson(400, Json.encode(java.util.Map.of("error", e.getMessage())));
+                exchange.respondJson(400, Json.encode(java.util.Map.of("error", e.getMessage())));
             }
         }
 
--- a/common/src/main/java/mastdrift/common/Json.java
+++ b/common/src/main/java/mastdrift/common/Json.java
@@ -6,12 +6,12 @@
 import java.io.UncheckedIOException;
 import java.util.Map;
 
-/** Plain objects as text and back. */
+/** Encodes and parses JSON made of maps, lists and plain values. */
 public final class Json {
 
     private Json() { }
 
-    /** On one line. */
+    /** Returns the JSON text, on one line. */
     public static String encode(Object object) {
         try {
             return JSON.std.asString(object);
@@ -20,7 +20,7 @@
         }
     }
 
-    /** Throws IllegalArgumentException for what is no JSON object. */
+    /** Throws IllegalArgumentException if the text is not a JSON object. */
     public static Map<String, Object> parse(byte[] text) {
         try {
             return JSON.std.mapFrom(text);
@@ -31,7 +31,7 @@
         }
     }
 
-    /** Likewise. */
+    /** Throws IllegalArgumentException if the text is not a JSON object. */
     public static Map<String, Object> parse(String text) {
         return parse(text.getBytes(java.nio.charset.StandardCharsets.UTF_8));
     }
--- a/common/src/main/java/mastdrift/common/LineStreamClient.java
+++ b/common/src/main/java/mastdrift/common/LineStreamClient.java
@@ -27,61 +27,68 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 
-/** One call whose answer is lines that come for as long as it stays open. On its event loop. */
+/** An HTTP GET request whose response is a long-lived stream of lines. Used from its event loop only. */
 public final class LineStreamClient {
 
-    private static final int LINE_MOST = 16 << 20;
+    private static final int MAX_LINE_BYTES = 16 << 20;
 
     private final Channel channel;
-    private final Consumer<String> lines;
-    private final Consumer<String> end;
+    private final Consumer<String> onLine;
+    private final Consumer<String> onEnd;
     private boolean ended;
 
-    private LineStreamClient(EventLoop loop, InetSocketAddress at, String path, Map<String, String> headers, int dialMillis,
-            int silenceMillis, Consumer<String> lines, Consumer<String> end) {
-        this.lines = lines;
-        this.end = end;
-        InetSocketAddress now = at.isUnresolved() ? new InetSocketAddress(at.getHostString(), at.getPort()) : at;
-        ChannelFuture dialled = new Bootstrap().group(loop).channel(NioSocketChannel.class)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, dialMillis).option(ChannelOption.TCP_NODELAY, true)
+    private LineStreamClient(EventLoop loop, InetSocketAddress address, String path, Map<String, String> headers,
+            int connectTimeoutMillis, int readTimeoutMillis, Consumer<String> onLine, Consumer<String> onEnd) {
+        this.onLine = onLine;
+        this.onEnd = onEnd;
+        InetSocketAddress resolvedAddress = address.isUnresolved()
+                ? new InetSocketAddress(address.getHostString(), address.getPort()) : address;
+        ChannelFuture connectFuture = new Bootstrap().group(loop).channel(NioSocketChannel.class)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectTimeoutMillis)
+                .option(ChannelOption.TCP_NODELAY, true)
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
                         channel.pipeline().addLast(new HttpClientCodec(),
-                                new ReadTimeoutHandler(silenceMillis, TimeUnit.MILLISECONDS), new Answer());
+                                new ReadTimeoutHandler(readTimeoutMillis, TimeUnit.MILLISECONDS),
+                                new ResponseHandler());
                     }
-                }).connect(now);
-        channel = dialled.channel();
-        dialled.addListener(done -> {
-            if (done.isSuccess()) {
+                }).connect(resolvedAddress);
+        channel = connectFuture.channel();
+        connectFuture.addListener(connected -> {
+            if (connected.isSuccess()) {
                 DefaultFullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, path);
-                request.headers().set(HttpHeaderNames.HOST, at.getHostString() + ":" + at.getPort());
+                request.headers().set(HttpHeaderNames.HOST, address.getHostString() + ":" + address.getPort());
                 headers.forEach((name, value) -> request.headers().set(name, value));
                 channel.writeAndFlush(request);
             } else {
-                // Where no socket could be made there is no channel, and the library tells of it on a thread of its own.
-                loop.execute(() -> over("no connection: " + done.cause().getMessage()));
+                // If the socket could not be created, there is no channel and Netty notifies from another thread.
+                loop.execute(() -> finish("connection failed: " + connected.cause().getMessage()));
             }
         });
     }
 
-    /** Calls; {@code lines} hears each line, the empty ones too, {@code end} once why there will be no more: not answered by
-        200, silent for too long, ended. Neither is called after {@link #cancel}. */
-    public static LineStreamClient open(EventLoop loop, InetSocketAddress at, String path, Map<String, String> headers,
-            int dialMillis, int silenceMillis, Consumer<String> lines, Consumer<String> end) {
-        return new LineStreamClient(loop, at, path, headers, dialMillis, silenceMillis, lines, end);
+    /** Connects and sends the request. {@code onLine} receives each line, including empty ones. {@code onEnd} is called
+        once, with the cause, when the stream ends: connection failed, status other than 200, invalid response, line too
+        long, nothing read for {@code readTimeoutMillis}, or end of the response or connection. Neither is called after
+        {@link #cancel}. */
+    public static LineStreamClient open(EventLoop loop, InetSocketAddress address, String path,
+            Map<String, String> headers, int connectTimeoutMillis, int readTimeoutMillis, Consumer<String> onLine,
+            Consumer<String> onEnd) {
+        return new LineStreamClient(loop, address, path, headers, connectTimeoutMillis, readTimeoutMillis, onLine,
+                onEnd);
     }
 
-    /** Ends it unheard. */
+    /** Closes the connection without calling {@code onEnd}. */
     public void cancel() {
         ended = true;
         close();
     }
 
-    private void over(String cause) {
+    private void finish(String cause) {
         if (!ended) {
             ended = true;
-            end.accept(cause);
+            onEnd.accept(cause);
         }
         close();
     }
@@ -92,52 +99,54 @@
         }
     }
 
-    private final class Answer extends SimpleChannelInboundHandler<HttpObject> {
+    private final class ResponseHandler extends SimpleChannelInboundHandler<HttpObject> {
 
-        private ByteBuf text;
+        private ByteBuf buffer;
 
         @Override
         public void handlerAdded(ChannelHandlerContext context) {
-            text = context.alloc().heapBuffer();
+            buffer = context.alloc().heapBuffer();
         }
 
         @Override
         public void handlerRemoved(ChannelHandlerContext context) {
-            text.release();
+            buffer.release();
         }
 
         @Override
-        protected void channelRead0(ChannelHandlerContext context, HttpObject part) {
-            if (part.decoderResult().isFailure()) {
-                over("odd answer");
-            } else if (part instanceof HttpResponse response && response.status().code() != 200) {
-                over("status " + response.status().code());
-            } else if (part instanceof HttpContent content && !ended) {
-                text.discardReadBytes();
-                int looked = text.writerIndex();  // a long line comes in many parts: each is looked through once
-                text.writeBytes(content.content());
-                for (int at = text.indexOf(looked, text.writerIndex(), (byte) '\n'); at >= 0 && !ended;
-                        at = text.indexOf(text.readerIndex(), text.writerIndex(), (byte) '\n')) {
-                    String line = text.readCharSequence(at - text.readerIndex(), StandardCharsets.UTF_8).toString();
-                    text.skipBytes(1);
-                    lines.accept(line);
+        protected void channelRead0(ChannelHandlerContext context, HttpObject message) {
+            if (message.decoderResult().isFailure()) {
+                finish("invalid HTTP response");
+            } else if (message instanceof HttpResponse response && response.status().code() != 200) {
+                finish("status " + response.status().code());
+            } else if (message instanceof HttpContent content && !ended) {
+                buffer.discardReadBytes();
+                int searchStart = buffer.writerIndex();  // each byte of a long line is searched once
+                buffer.writeBytes(content.content());
+                for (int newline = buffer.indexOf(searchStart, buffer.writerIndex(), (byte) '\n');
+                        newline >= 0 && !ended;
+                        newline = buffer.indexOf(buffer.readerIndex(), buffer.writerIndex(), (byte) '\n')) {
+                    String line = buffer.readCharSequence(newline - buffer.readerIndex(), StandardCharsets.UTF_8)
+                            .toString();
+                    buffer.skipBytes(1);
+                    onLine.accept(line);
                 }
-                if (text.readableBytes() > LINE_MOST) {
-                    over("a line of over " + LINE_MOST + " bytes");
-                } else if (part instanceof LastHttpContent) {
-                    over("the answer ended");
+                if (buffer.readableBytes() > MAX_LINE_BYTES) {
+                    finish("line longer than " + MAX_LINE_BYTES + " bytes");
+                } else if (message instanceof LastHttpContent) {
+                    finish("response ended");
                 }
             }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            over("the connection ended");
+            finish("connection closed");
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            over(cause instanceof ReadTimeoutException ? "silent for too long" : cause.toString());
+            finish(cause instanceof ReadTimeoutException ? "read timed out" : cause.toString());
         }
     }
 }
--- a/common/src/main/java/mastdrift/common/Range.java
+++ b/common/src/main/java/mastdrift/common/Range.java
@@ -1,9 +1,9 @@
 package mastdrift.common;
 
-/** From the mildest to the worst, which may be the smaller one. */
+/** A range of values, from the mildest to the most severe; {@code to} may be less than {@code from}. */
 public record Range(double from, double to) {
 
-    /** Of one value. */
+    /** Returns the range that holds only this value. */
     public static Range of(double value) {
         return new Range(value, value);
     }
--- a/common/src/main/java/mastdrift/common/TomlFile.java
+++ b/common/src/main/java/mastdrift/common/TomlFile.java
@@ -15,19 +15,19 @@
 import org.tomlj.TomlPosition;
 import org.tomlj.TomlTable;
 
-/** A TOML file that is read key by key. Every key that is unknown, of a wrong type or out of its bounds is named with file
-    and line, all of them at once. */
+/** A TOML file that is read key by key. Unknown keys, values of the wrong type and values out of bounds are collected,
+    and reported together, each with file and line. */
 public final class TomlFile {
 
-    /** All that is wrong with a file, a line each. */
+    /** Lists all errors of a file, one per line. */
     public static final class ValidationException extends Exception {
 
         private static final long serialVersionUID = 1L;
         private final transient List<String> errors;
 
-        ValidationException(List<String> lines) {
-            super(String.join(System.lineSeparator(), lines));
-            this.errors = List.copyOf(lines);
+        ValidationException(List<String> errors) {
+            super(String.join(System.lineSeparator(), errors));
+            this.errors = List.copyOf(errors);
         }
 
         public List<String> errors() {
@@ -36,44 +36,45 @@
     }
 
     private final String file;
-    private final List<String> faults = new ArrayList<>();
+    private final List<String> errors = new ArrayList<>();
     private final TomlTable root;
 
     private TomlFile(String file, TomlParseResult root) throws ValidationException {
         this.file = file;
         this.root = root;
-        root.errors().forEach(error -> faults.add(file + ":" + error.position().line() + ": " + error.getMessage()));
+        root.errors().forEach(error -> errors.add(file + ":" + error.position().line() + ": " + error.getMessage()));
         throwIfInvalid();
     }
 
-    /** Throws Faults for what is no TOML, IOException for a file that can't be read. */
+    /** Throws ValidationException if the file is not valid TOML, IOException if it can't be read. */
     public static TomlFile read(Path file) throws ValidationException, IOException {
         return new TomlFile(file.toString(), Toml.parse(file));
     }
 
-    /** The same for a text. */
+    /** Parses a text as {@link #read} parses a file; error messages use {@code name} as the file name. */
     public static TomlFile parse(String text, String name) throws ValidationException {
         return new TomlFile(name, Toml.parse(text));
     }
 
-    /** What stands before and in all tables; asked for once. */
+    /** Returns the top-level section; to be called once, since unknown keys are tracked per Section object. */
     public Section root() {
         return new Section("", root);
     }
 
-    /** Throws all faults that were found so far, if any. */
+    /** Throws an exception with all errors found so far, if there are any. */
     public void throwIfInvalid() throws ValidationException {
-        if (!faults.isEmpty()) {
-            throw new ValidationException(faults);
+        if (!errors.isEmpty()) {
+            throw new ValidationException(errors);
         }
     }
 
-    /** One table: gives each key that is asked for once, and then knows which were not asked for. */
+    /** A table of the file. It records the keys that were read, to report the others as unknown. A getter that finds a
+        wrong value adds an error; for an absent key it returns the default. */
     public final class Section {
 
         private final String path;
         private final TomlTable table;
-        private final Set<String> known = new TreeSet<>();
+        private final Set<String> requestedKeys = new TreeSet<>();
 
         Section(String path, TomlTable table) {
             this.path = path;
@@ -81,110 +82,111 @@
         }
 
         private Object value(String key) {
-            known.add(key);
+            requestedKeys.add(key);
             return table.get(List.of(key));
         }
 
-        /** What is wrong with that key's value; told with all the rest by {@link #throwIfInvalid}. */
-        public void addError(String key, String what) {
-            TomlPosition at = table.inputPositionOf(List.of(key));
-            faults.add(file + ":" + (at == null ? 1 : at.line()) + ": " + path + key + ": " + what);
+        /** Adds an error about a key, to be thrown by {@link #throwIfInvalid}. */
+        public void addError(String key, String message) {
+            TomlPosition position = table.inputPositionOf(List.of(key));
+            errors.add(file + ":" + (position == null ? 1 : position.line()) + ": " + path + key + ": " + message);
         }
 
-        /** A table, empty where the file has none. */
+        /** Returns a subtable, or an empty section if it is absent. */
         public Section section(String key) {
             Object value = value(key);
             if (value != null && !(value instanceof TomlTable)) {
                 addError(key, "expected a table");
             }
-            return new Section(path + key + ".", value instanceof TomlTable given ? given : Toml.parse(""));
+            return new Section(path + key + ".", value instanceof TomlTable child ? child : Toml.parse(""));
         }
 
         public List<Section> sections(String key) {
-            List<Section> all = new ArrayList<>();
+            List<Section> sections = new ArrayList<>();
             Object value = value(key);
             if (value instanceof TomlArray array && array.toList().stream().allMatch(each -> each instanceof TomlTable)) {
                 for (int i = 0; i < array.size(); i++) {
-                    all.add(new Section(path + key + "[" + i + "].", array.getTable(i)));
+                    sections.add(new Section(path + key + "[" + i + "].", array.getTable(i)));
                 }
             } else if (value != null) {
-                addError(key, "expected tables, each begun by [[" + key + "]]");
+                addError(key, "expected an array of tables, each with the header [[" + key + "]]");
             }
-            return all;
+            return sections;
         }
 
-        private boolean within(String key, double value, double least, double most) {
-            boolean within = value >= least && value <= most;
-            if (!within) {
-                addError(key, "expected " + shown(least) + " to " + shown(most) + ", not " + shown(value));
+        private boolean checkBounds(String key, double value, double min, double max) {
+            boolean withinBounds = value >= min && value <= max;
+            if (!withinBounds) {
+                addError(key, "expected " + format(min) + " to " + format(max) + ", not " + format(value));
             }
-            return within;
+            return withinBounds;
         }
 
-        public Range range(String key, double from, double to, double least, double most) {
+        public Range range(String key, double defaultFrom, double defaultTo, double min, double max) {
             Object value = value(key);
-            if (value instanceof Number number && within(key, number.doubleValue(), least, most)) {
+            if (value instanceof Number number && checkBounds(key, number.doubleValue(), min, max)) {
                 return Range.of(number.doubleValue());
             }
             if (value instanceof TomlArray array && array.size() == 2 && array.get(0) instanceof Number first
                     && array.get(1) instanceof Number second) {
-                if (within(key, first.doubleValue(), least, most) && within(key, second.doubleValue(), least, most)) {
+                if (checkBounds(key, first.doubleValue(), min, max)
+                        && checkBounds(key, second.doubleValue(), min, max)) {
                     return new Range(first.doubleValue(), second.doubleValue());
                 }
             } else if (value != null && !(value instanceof Number)) {
                 addError(key, "expected a number or a range [from, to]");
             }
-            return new Range(from, to);
+            return new Range(defaultFrom, defaultTo);
         }
 
-        public double number(String key, double otherwise, double least, double most) {
+        public double number(String key, double defaultValue, double min, double max) {
             Object value = value(key);
             if (value instanceof Number number) {
-                return within(key, number.doubleValue(), least, most) ? number.doubleValue() : otherwise;
+                return checkBounds(key, number.doubleValue(), min, max) ? number.doubleValue() : defaultValue;
             }
             if (value != null) {
                 addError(key, "expected a number");
             }
-            return otherwise;
+            return defaultValue;
         }
 
-        public int integer(String key, int otherwise, int least, int most) {
+        public int integer(String key, int defaultValue, int min, int max) {
             Object value = value(key);
             if (value instanceof Long number) {
-                return within(key, number, least, most) ? number.intValue() : otherwise;
+                return checkBounds(key, number, min, max) ? number.intValue() : defaultValue;
             }
             if (value != null) {
                 addError(key, "expected a whole number");
             }
-            return otherwise;
+            return defaultValue;
         }
 
-        public boolean bool(String key, boolean otherwise) {
+        public boolean bool(String key, boolean defaultValue) {
             Object value = value(key);
             if (value != null && !(value instanceof Boolean)) {
                 addError(key, "expected true or false");
             }
-            return value instanceof Boolean given ? given : otherwise;
+            return value instanceof Boolean flag ? flag : defaultValue;
         }
 
-        public String name(String key, String otherwise) {
+        public String name(String key, String defaultValue) {
             Object value = value(key);
             if (value != null && (!(value instanceof String text) || text.isBlank() || text.contains(" "))) {
                 addError(key, "expected a name without spaces");
             }
-            return value instanceof String given ? given : otherwise;
+            return value instanceof String string ? string : defaultValue;
         }
 
-        /** Any text on one line. */
-        public String string(String key, String otherwise) {
+        /** Returns any text that is not blank. */
+        public String string(String key, String defaultValue) {
             Object value = value(key);
             if (value != null && (!(value instanceof String text) || text.isBlank())) {
                 addError(key, "expected a text");
             }
-            return value instanceof String given ? given : otherwise;
+            return value instanceof String string ? string : defaultValue;
         }
 
-        public List<String> names(String key, List<String> otherwise) {
+        public List<String> names(String key, List<String> defaultValues) {
             Object value = value(key);
             if (value instanceof TomlArray array && !array.isEmpty()
                     && array.toList().stream().allMatch(each -> each instanceof String)) {
@@ -193,34 +195,35 @@
             if (value != null) {
                 addError(key, "expected a list of names");
             }
-            return otherwise;
+            return defaultValues;
         }
 
-        /** Null for {@code otherwise}: the key is needed. */
-        public <E extends Enum<E>> E enumValue(String key, Class<E> type, E otherwise) {
+        /** Returns the constant whose lower-case name is the value. The key is required if
+            {@code defaultValue} is null. */
+        public <E extends Enum<E>> E enumValue(String key, Class<E> type, E defaultValue) {
             Object value = value(key);
-            for (E each : type.getEnumConstants()) {
-                if (value instanceof String text && text.equals(each.name().toLowerCase(Locale.ROOT))) {
-                    return each;
+            for (E constant : type.getEnumConstants()) {
+                if (value instanceof String text && text.equals(constant.name().toLowerCase(Locale.ROOT))) {
+                    return constant;
                 }
             }
-            if (value != null || otherwise == null) {
+            if (value != null || defaultValue == null) {
                 addError(key, "expected one of " + Arrays.stream(type.getEnumConstants())
-                        .map(each -> each.name().toLowerCase(Locale.ROOT)).collect(Collectors.joining(", ")));
+                        .map(constant -> constant.name().toLowerCase(Locale.ROOT)).collect(Collectors.joining(", ")));
             }
-            return otherwise;
+            return defaultValue;
         }
 
-        /** After the last key was asked for: any other is a fault. */
+        /** Adds an error for each key that was not read; to be called after the last getter. */
         public void rejectUnknownKeys() {
             for (String key : table.keySet()) {
-                if (!known.contains(key)) {
-                    addError(key, "unknown key; known here: " + String.join(", ", known));
+                if (!requestedKeys.contains(key)) {
+                    addError(key, "unknown key; known here: " + String.join(", ", requestedKeys));
                 }
             }
         }
 
-        private static String shown(double value) {
+        private static String format(double value) {
             return value == Math.rint(value) && Math.abs(value) < 1e9 ? Long.toString((long) value) : Double.toString(value);
         }
     }
--- a/common/src/test/java/mastdrift/common/AcceptRetryTest.java
+++ b/common/src/test/java/mastdrift/common/AcceptRetryTest.java
@@ -10,8 +10,9 @@
 
 class AcceptRetryTest {
 
+    /** Guards against a one-second pause in accepting, and an unhandled exception, after each failed accept. */
     @Test
-    void acceptingRestsForSomeMillisecondsAndNobodyElseHearsOfIt() {
+    void failedAcceptPausesAcceptingBrieflyAndIsNotPropagated() {
         EmbeddedChannel channel = new EmbeddedChannel(new AcceptRetry());
         channel.freezeTime();
         channel.pipeline().fireExceptionCaught(new IOException("Too many open files"));
--- a/common/src/test/java/mastdrift/common/DiskTest.java
+++ b/common/src/test/java/mastdrift/common/DiskTest.java
@@ -18,64 +18,65 @@
 class DiskTest {
 
     @TempDir
-    private Path folder;
+    private Path directory;
 
+    /** Guards against reading back a file that a crash cut short or the disk altered. */
     @Test
-    void whatWasWrittenIsReadAndEveryCutOrFlippedByteIsRefusedByName() throws IOException {
-        Path file = folder.resolve("some");
+    void everyTruncatedOrCorruptedFileIsRejectedWithItsName() throws IOException {
+        Path file = directory.resolve("some");
         Disk disk = new Disk();
         assertNull(disk.read(file));
         disk.write(file, new byte[] {1, 2, 3});
         assertArrayEquals(new byte[] {1, 2, 3}, disk.read(file));
-        byte[] all = Files.readAllBytes(file);
-        for (int i = 0; i < all.length; i++) {
-            byte[] flipped = all.clone();
-            flipped[i] ^= 4;
-            refused(disk, file, flipped);
-            refused(disk, file, Arrays.copyOf(all, i));
+        byte[] intact = Files.readAllBytes(file);
+        for (int i = 0; i < intact.length; i++) {
+            byte[] corrupted = intact.clone();
+            corrupted[i] ^= 4;
+            assertRejected(disk, file, corrupted);
+            assertRejected(disk, file, Arrays.copyOf(intact, i));
         }
     }
 
-    private static void refused(Disk disk, Path file, byte[] bytes) throws IOException {
+    private static void assertRejected(Disk disk, Path file, byte[] bytes) throws IOException {
         Files.write(file, bytes);
-        IOException refused = assertThrows(IOException.class, () -> disk.read(file));
-        assertTrue(refused.getMessage().startsWith(file + " is spoilt"), refused.getMessage());
+        IOException exception = assertThrows(IOException.class, () -> disk.read(file));
+        assertTrue(exception.getMessage().startsWith(file + " is spoilt"), exception.getMessage());
     }
 
     @Test
-    void aWriteThatFailsLeavesTheOldFile() throws IOException {
-        Path file = folder.resolve("some");
+    void failedWriteLeavesTheOldFile() throws IOException {
+        Path file = directory.resolve("some");
         new Disk().write(file, new byte[] {1});
-        Disk full = new Disk() {
+        Disk failingDisk = new Disk() {
             @Override
-            protected void writeFully(FileChannel to, ByteBuffer all) throws IOException {
-                all.limit(all.position() + 5);
-                super.writeFully(to, all);
+            protected void writeFully(FileChannel channel, ByteBuffer buffer) throws IOException {
+                buffer.limit(buffer.position() + 5);
+                super.writeFully(channel, buffer);
                 throw new IOException("full");
             }
         };
-        assertThrows(IOException.class, () -> full.write(file, new byte[] {2}));
+        assertThrows(IOException.class, () -> failingDisk.write(file, new byte[] {2}));
         assertArrayEquals(new byte[] {1}, new Disk().read(file));
     }
 
-    /** Those who failed together do not come back together, nor ever later than the bound. */
+    /** Guards against clients that failed together retrying together, and against pauses above the maximum. */
     @Test
-    void pausesSpreadBetweenTheirBounds() {
+    void backoffPausesAreSpreadWithinTheirBounds() {
         java.util.Random random = new java.util.Random(1);
-        java.util.Set<Long> thirds = new java.util.HashSet<>();
+        java.util.Set<Long> thirdPauses = new java.util.HashSet<>();
         for (int i = 0; i < 100; i++) {
             Backoff backoff = new Backoff(50, 3000, random::nextDouble);
             for (int j = 0; j < 20; j++) {
                 long pause = backoff.next();
                 assertTrue(pause >= 50 && pause <= 3000, Long.toString(pause));
                 if (j == 2) {
-                    thirds.add(pause);
+                    thirdPauses.add(pause);
                 }
             }
             backoff.reset();
             assertTrue(backoff.next() <= 150);
         }
-        assertTrue(thirds.size() > 50, thirds.toString());
+        assertTrue(thirdPauses.size() > 50, thirdPauses.toString());
         assertEquals(50, new Backoff(50, 3000, () -> 0).next());
     }
 }
