--- a/common/src/main/java/mastdrift/common/LineStreamClient.java
+++ b/common/src/main/java/mastdrift/common/LineStreamClient.java
@@ -63,7 +63,7 @@
                 channel.writeAndFlush(request);
             } else {
                 // If the socket could not be created, there is no channel and Netty notifies from another thread.
-                loop.execute(() -> finish("connection failed: " + connected.cause().getMessage()));
+                loop.execute(() -> finish("no connection: " + connected.cause().getMessage()));
             }
         });
     }
@@ -116,7 +116,7 @@
         @Override
         protected void channelRead0(ChannelHandlerContext context, HttpObject message) {
             if (message.decoderResult().isFailure()) {
-                finish("invalid HTTP response");
+                finish("odd answer");
             } else if (message instanceof HttpResponse response && response.status().code() != 200) {
                 finish("status " + response.status().code());
             } else if (message instanceof HttpContent content && !ended) {
@@ -132,21 +132,21 @@
                     onLine.accept(line);
                 }
                 if (buffer.readableBytes() > MAX_LINE_BYTES) {
-                    finish("line longer than " + MAX_LINE_BYTES + " bytes");
+                    finish("a line of over " + MAX_LINE_BYTES + " bytes");
                 } else if (message instanceof LastHttpContent) {
-                    finish("response ended");
+                    finish("the answer ended");
                 }
             }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            finish("connection closed");
+            finish("the connection ended");
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            finish(cause instanceof ReadTimeoutException ? "read timed out" : cause.toString());
+            finish(cause instanceof ReadTimeoutException ? "silent for too long" : cause.toString());
         }
     }
 }
