--- a/common/src/main/java/mastdrift/common/Json.java
+++ b/common/src/main/java/mastdrift/common/Json.java
@@ -6,13 +6,13 @@
 import java.io.UncheckedIOException;
 import java.util.Map;
 
-/** Plain objects as text and back. */
+/** Encodes and parses JSON made of maps, lists and plain values. */
 public final class Json {
 
     private Json() { }
 
-    /** On one line. */
-    public static String text(Object object) {
+    /** Returns the JSON text, on one line. */
+    public static String encode(Object object) {
         try {
             return JSON.std.asString(object);
         } catch (IOException e) {
@@ -20,8 +20,8 @@
         }
     }
 
-    /** Throws IllegalArgumentException for what is no JSON object. */
-    public static Map<String, Object> object(byte[] text) {
+    /** Throws IllegalArgumentException if the text is not a JSON object. */
+    public static Map<String, Object> parse(byte[] text) {
         try {
             return JSON.std.mapFrom(text);
         } catch (JsonProcessingException e) {
@@ -31,8 +31,8 @@
         }
     }
 
-    /** Likewise. */
-    public static Map<String, Object> object(String text) {
-        return object(text.getBytes(java.nio.charset.StandardCharsets.UTF_8));
+    /** Throws IllegalArgumentException if the text is not a JSON object. */
+    public static Map<String, Object> parse(String text) {
+        return parse(text.getBytes(java.nio.charset.StandardCharsets.UTF_8));
     }
 }
--- a/registry/src/main/java/mastdrift/registry/Gauges.java
+++ b/registry/src/main/java/mastdrift/registry/PrometheusGauges.java
@@ -9,19 +9,19 @@
 import java.nio.charset.StandardCharsets;
 import java.util.function.DoubleSupplier;
 
-/** A process's figures, looked at when they are asked for, in the text form of Prometheus. */
-final class Gauges {
+/** Gauges of a process, evaluated when scraped, in Prometheus text format. */
+final class PrometheusGauges {
 
     private final PrometheusRegistry registry = new PrometheusRegistry();
 
-    /** The same, for chains. */
-    Gauges put(String name, String help, DoubleSupplier value) {
+    /** Adds a gauge; returns this object for chaining. */
+    PrometheusGauges add(String name, String help, DoubleSupplier value) {
         GaugeWithCallback.builder().name(name).help(help).callback(callback -> callback.call(value.getAsDouble()))
                 .register(registry);
         return this;
     }
 
-    String text() {
+    String render() {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         try {
             new PrometheusTextFormatWriter(false).write(out, registry.scrape());
--- a/rig/src/main/java/mastdrift/rig/Addresses.java
+++ b/rig/src/main/java/mastdrift/rig/Addresses.java
@@ -6,48 +6,48 @@
 import java.net.ServerSocket;
 import java.util.concurrent.ThreadLocalRandom;
 
-/** Loopback addresses of a rig: each process has one of its own, and each pair of processes one for the link between them,
-    so that a process is reached by another at an address that nobody else uses. */
+/** The loopback addresses of a run: one for each process, and one for the link from each process to each other, so that
+    faults of one link touch no other. */
 final class Addresses {
 
-    /** So many processes fit, and so many plays side by side. */
-    static final int MOST = 200;
+    /** The highest number of processes in a run. */
+    static final int MAX_PROCESSES = 200;
     private static final int FIRST_LINK_NET = 30;
-    private static final int LEAST_PORT = 10_240;
-    private static final int PORTS = 20_000;
+    private static final int MIN_PORT = 10_240;
+    private static final int PORT_COUNT = 20_000;
 
-    private final int lane;
+    private final int slot;
 
-    /** Plays side by side have lanes of their own. */
-    Addresses(int lane) {
-        this.lane = lane;
+    /** Parallel runs use different slots of addresses. */
+    Addresses(int slot) {
+        this.slot = slot;
     }
 
-    /** Where the process with that number listens. */
-    String own(int index) {
-        return "127.21." + lane + "." + (within(index) + 1);
+    /** The address on which the process with that number listens. */
+    String processAddress(int index) {
+        return "127.21." + slot + "." + (checkIndex(index) + 1);
     }
 
-    /** Where {@code from} reaches {@code to}. */
-    String link(int from, int to) {
-        return "127." + (FIRST_LINK_NET + within(from)) + "." + within(to) + "." + (lane + 1);
+    /** The address at which process {@code from} reaches process {@code to}. */
+    String linkAddress(int from, int to) {
+        return "127." + (FIRST_LINK_NET + checkIndex(from)) + "." + checkIndex(to) + "." + (slot + 1);
     }
 
-    private static int within(int index) {
-        if (index < 0 || index >= MOST) {
-            throw new IllegalArgumentException("at most " + MOST + " processes in one rig");
+    private static int checkIndex(int index) {
+        if (index < 0 || index >= MAX_PROCESSES) {
+            throw new IllegalArgumentException("at most " + MAX_PROCESSES + " processes in one rig");
         }
         return index;
     }
 
-    /** A port that is free there now, and below those that the system deals out to connections: one of these could be gone
-        between this look and the process's start. */
-    static int port(String address) {
+    /** A port that is free at the address, below the ephemeral range: a port of that range could be taken by a
+        connection before the process starts. */
+    static int freePort(String address) {
         IOException last = null;
         for (int tries = 0; tries < 100; tries++) {
-            int port = LEAST_PORT + ThreadLocalRandom.current().nextInt(PORTS);
+            int port = MIN_PORT + ThreadLocalRandom.current().nextInt(PORT_COUNT);
             try {
-                synchronized (Program.FORKING) {
+                synchronized (ManagedProcess.FORK_LOCK) {
                     new ServerSocket(port, 1, InetAddress.getByName(address)).close();
                 }
                 return port;
@@ -55,7 +55,7 @@
                 last = e;
             }
         }
-        throw new IllegalStateException("no port on " + address + ": " + last.getMessage(), last);
+        throw new IllegalStateException("no free port on " + address + ": " + last.getMessage(), last);
     }
 
     static InetSocketAddress socket(String address, int port) {
--- a/rig/src/main/java/mastdrift/rig/BadClients.java
+++ b/rig/src/main/java/mastdrift/rig/BadClients.java
@@ -17,51 +17,51 @@
 import java.util.concurrent.TimeUnit;
 import mastdrift.lab.Dice;
 
-/** Clients that use up connections: some rest without a request, others stop in the middle of one and stay. Each that the
-    gateway ends comes back after a while. The history has, for each that stopped, how long it was left waiting. On the load's
-    event loop alone. */
+/** Misbehaving clients that use up connections: some are idle, others stall in the middle of a request. Each connects
+    again 1 s after the gateway has closed its connection. The history records how long each stalled client was kept.
+    Confined to the load's event loop. */
 final class BadClients {
 
-    private static final String HALF_A_REQUEST = "POST /api HTTP/1.1\r\nHost: service.internal\r\nContent-Le";
-    private static final int BACK_AFTER_MILLIS = 1000;
-    // More than half of the descriptors that the rig's configuration tells a gateway, which are for clients.
-    private static final int CROWD_A_GATEWAY = 600;
+    private static final String PARTIAL_REQUEST = "POST /api HTTP/1.1\r\nHost: service.internal\r\nContent-Le";
+    private static final int RECONNECT_MILLIS = 1000;
+    // More than half of the descriptors that the rig allows a gateway; that half is for clients.
+    private static final int EXHAUSTING_CONNECTIONS_PER_GATEWAY = 600;
 
     private final EventLoop loop;
-    private final int idle;
-    private final boolean crowd;
-    private final int stuck;
+    private final int idleCount;
+    private final boolean exhaustsDescriptors;
+    private final int stalledCount;
     private final History history;
-    private final Set<Channel> open = new HashSet<>();
+    private final Set<Channel> connections = new HashSet<>();
     private boolean closed;
 
     BadClients(EventLoop loop, RigPlan.Load plan, long seed, History history) {
         this.loop = loop;
         this.history = history;
         Dice dice = new Dice(seed, "bad-clients");
-        idle = (int) Math.round(dice.in(plan.idle()));
-        stuck = (int) Math.round(dice.in(plan.stuck()));
-        crowd = dice.unit() < plan.crowd();
+        idleCount = (int) Math.round(dice.in(plan.idleConnections()));
+        stalledCount = (int) Math.round(dice.in(plan.stalledClients()));
+        exhaustsDescriptors = dice.unit() < plan.exhaustionChance();
     }
 
-    /** Whether resting connections take all descriptors of all gateways. */
-    boolean crowd() {
-        return crowd;
+    /** Whether idle connections use up all client descriptors of all gateways. */
+    boolean exhaustsDescriptors() {
+        return exhaustsDescriptors;
     }
 
-    /** They come from now on, dealt out over the gateways in turn. */
+    /** Connects all of them, spread evenly over the gateways. */
     void start(Map<String, InetSocketAddress> gateways) {
         List<String> names = List.copyOf(gateways.keySet());
         loop.execute(() -> {
-            int resting = idle + (crowd ? CROWD_A_GATEWAY * names.size() : 0);
-            for (int i = 0; i < resting + stuck; i++) {
+            int idleTotal = idleCount + (exhaustsDescriptors ? EXHAUSTING_CONNECTIONS_PER_GATEWAY * names.size() : 0);
+            for (int i = 0; i < idleTotal + stalledCount; i++) {
                 String name = names.get(i % names.size());
-                come(name, gateways.get(name), i < resting ? "" : HALF_A_REQUEST);
+                connect(name, gateways.get(name), i < idleTotal ? "" : PARTIAL_REQUEST);
             }
         });
     }
 
-    private void come(String gateway, InetSocketAddress at, String text) {
+    private void connect(String gateway, InetSocketAddress address, String firstBytes) {
         if (closed) {
             return;
         }
@@ -73,8 +73,8 @@
                     @Override
                     public void channelActive(ChannelHandlerContext context) {
                         sentAt = History.now();
-                        if (!text.isEmpty()) {
-                            context.writeAndFlush(Unpooled.copiedBuffer(text, StandardCharsets.US_ASCII));
+                        if (!firstBytes.isEmpty()) {
+                            context.writeAndFlush(Unpooled.copiedBuffer(firstBytes, StandardCharsets.US_ASCII));
                         }
                     }
 
@@ -83,7 +83,7 @@
 
                     @Override
                     public void channelInactive(ChannelHandlerContext context) {
-                        if (!text.isEmpty() && !closed) {
+                        if (!firstBytes.isEmpty() && !closed) {
                             history.add(sentAt, History.now(), gateway, "stuck-client-ended", Map.of());
                         }
                     }
@@ -92,19 +92,19 @@
                     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
                         context.close();
                     }
-                }).connect(at).channel();
-        open.add(channel);
+                }).connect(address).channel();
+        connections.add(channel);
         channel.closeFuture().addListener(ended -> {
-            open.remove(channel);
-            loop.schedule(() -> come(gateway, at, text), BACK_AFTER_MILLIS, TimeUnit.MILLISECONDS);
+            connections.remove(channel);
+            loop.schedule(() -> connect(gateway, address, firstBytes), RECONNECT_MILLIS, TimeUnit.MILLISECONDS);
         });
     }
 
-    /** All leave. */
+    /** Closes all connections. */
     void close() {
         loop.submit(() -> {
             closed = true;
-            List.copyOf(open).forEach(Channel::close);
+            List.copyOf(connections).forEach(Channel::close);
         }).syncUninterruptibly();
     }
 }
--- a/rig/src/main/java/mastdrift/rig/Fault.java
+++ b/rig/src/main/java/mastdrift/rig/Fault.java
@@ -5,86 +5,89 @@
 import java.util.TreeMap;
 
 /**
- * One fault as a seed drew it. Times are milliseconds from the beginning of the load.
+ * One fault as drawn by a seed. Times are milliseconds from the start of the load.
  *
- * @param id its place in the plan, from 0
- * @param at when it begins; with {@code when}, how long after the event was seen
- * @param span how long it lasts, 0 where it has no end
- * @param processes whom it befalls, or the callers of the links
- * @param others the called of the links, empty for a process's fault
- * @param size milliseconds, bytes or bytes a second, as the kind has it
- * @param spread the part by which a delay varies
- * @param back with which folder a process is started again
- * @param when an expression that a line of some process's log has to hold first; null for none
- * @param heal the part of the links that heal at its end; the rest only when all is healed
- * @param systemCall what fails, null for other kinds
+ * @param id its index in the schedule, from 0
+ * @param startMillis when it starts; with {@code triggerPattern}, how long after the log line was seen
+ * @param durationMillis how long it lasts, 0 for one without an end
+ * @param processes the affected processes; of a link fault, those that open the connections
+ * @param targets the processes that a link fault's connections lead to; empty for other faults
+ * @param magnitude milliseconds, bytes or bytes per second, depending on the kind
+ * @param jitter the fraction by which a delay varies
+ * @param restartState the data folder with which a killed process is started again
+ * @param triggerPattern a regular expression that a log line of some process has to match first; null for none
+ * @param healShare the share of links that heal at its end; the others heal when all faults end
+ * @param systemCall the failing call, null for other kinds
  */
-record Fault(int id, Kind kind, long at, long span, List<String> processes, List<String> others, Link.Way way, double size,
-        double spread, Back back, String when, double heal, SystemCall systemCall) {
+record Fault(int id, Kind kind, long startMillis, long durationMillis,
+        List<String> processes, List<String> targets, Link.Way direction, double magnitude,
+        double jitter, Back restartState, String triggerPattern, double healShare, SystemCall systemCall) {
 
-    /** What goes wrong; {@code link} between processes, or with a process itself. */
+    /** The kind of a fault, which affects either links or processes. */
     enum Kind {
-        /** No bytes one way or both, and no new connection comes up; after it, those of before go on. */
+        /** No bytes pass in one or both directions, and no new connection is established; open connections go on after
+            it. */
         CUT(true),
-        /** Connections are accepted and stay silent. */
+        /** Connections are accepted, but nothing passes. */
         SILENT(true),
-        /** Each piece is late by size milliseconds, more or less by the spread. */
+        /** All bytes are delayed by so many milliseconds as the magnitude, varied by the jitter. */
         DELAY(true),
-        /** Size bytes a second. */
+        /** At most so many bytes pass per second as the magnitude. */
         TRICKLE(true),
-        /** After size more bytes of a connection nothing goes on. */
+        /** After so many more bytes as the magnitude, nothing passes on a connection. */
         STALL(true),
-        /** After size more bytes a connection is reset. */
+        /** After so many more bytes as the magnitude, a connection is reset. */
         RESET(true),
         /** New connections are refused, and those that are open are reset. */
         REFUSE(true),
         KILL(false), TERM(false), FREEZE(false),
-        /** SIGTERM, and SIGKILL as early as the platform may send it: 0.7 s and the longest deadline later. */
+        /** SIGTERM, then SIGKILL as early as the platform may send it: the longest deadline and 0.7 s later. */
         STOP(false),
         /** SIGHUP. */
         HANG_UP(false),
-        /** A host of the list is drained, and is gone and back cold after the span. */
+        /** A host is drained, and at the end of the fault replaced by a cold one. */
         REPLACE(false),
-        /** The process's files can't be written: full. */
+        /** The process's writes to files fail as on a full disk. */
         DISK_FULL(false),
-        /** Its Unix time jumps by size milliseconds, for the span. */
+        /** The process's Unix time is off by so many milliseconds as the magnitude. */
         CLOCK_JUMP(false),
-        /** Its clocks run at size times their speed, for the span. */
+        /** The process's monotonic clock runs at so many times its speed as the magnitude. */
         CLOCK_RATE(false),
-        /** System calls of the process fail; the size is the error's argument. */
+        /** System calls of the process fail; the magnitude is the error's argument. */
         SYSTEM_CALL(false);
 
-        final boolean link;
+        final boolean affectsLinks;
 
-        Kind(boolean link) {
-            this.link = link;
+        Kind(boolean affectsLinks) {
+            this.affectsLinks = affectsLinks;
         }
     }
 
-    /** With what a process comes back: its folder as left, an empty one, a copy from before the fault, or not at all. */
+    /** With which data folder a process is started again: as it was left, empty, a copy from before the fault, or
+        never. */
     enum Back { KEEP, EMPTY, OLDER, NEVER }
 
-    /** The same with one process, the leader of the moment; nobody where there is none. */
-    Fault of(String process) {
-        return new Fault(id, kind, at, span, process == null ? List.of() : List.of(process), others, way, size, spread, back,
-                when, heal, systemCall);
+    /** The same fault for the given process, in place of the leader's placeholder; for no process if it is null. */
+    Fault withProcess(String process) {
+        return new Fault(id, kind, startMillis, durationMillis, process == null ? List.of() : List.of(process), targets,
+                direction, magnitude, jitter, restartState, triggerPattern, healShare, systemCall);
     }
 
-    /** For the history. */
+    /** The fields for the history. */
     Map<String, Object> facts() {
         Map<String, Object> facts = new TreeMap<>();
         facts.put("id", id);
         facts.put("kind", kind.name().toLowerCase(java.util.Locale.ROOT));
         facts.put("processes", processes);
-        if (kind.link) {
-            facts.put("others", others);
-            facts.put("way", way.name().toLowerCase(java.util.Locale.ROOT));
+        if (kind.affectsLinks) {
+            facts.put("others", targets);
+            facts.put("way", direction.name().toLowerCase(java.util.Locale.ROOT));
         }
-        if (size != 0) {
-            facts.put("size", size);
+        if (magnitude != 0) {
+            facts.put("size", magnitude);
         }
         if (systemCall != null) {
-            facts.put("system_call", systemCall.rule(Math.round(size)));
+            facts.put("system_call", systemCall.toRuleLine(Math.round(magnitude)));
             facts.put("call", systemCall.call().name().toLowerCase(java.util.Locale.ROOT));
             facts.put("rate", systemCall.rate());
         }
--- a/rig/src/main/java/mastdrift/rig/History.java
+++ b/rig/src/main/java/mastdrift/rig/History.java
@@ -14,21 +14,22 @@
 import java.util.stream.Stream;
 import mastdrift.common.Json;
 
-/** What happened, each call with its start and its end on the one clock that all processes of a machine share
-    ({@code CLOCK_MONOTONIC}, microseconds); kept in memory for the checkers and written as JSON Lines. */
+/** The recorded history of a run: calls, faults and observations with their start and end on the clock that all
+    processes of a machine share ({@code CLOCK_MONOTONIC}, microseconds). Held in memory for the checkers and written as
+    JSON Lines. */
 final class History {
 
-    /** The end of a call of which nobody heard whether it took effect. */
+    /** The end of a call whose outcome is unknown. */
     static final long NEVER = Long.MAX_VALUE;
 
     /**
      * One call, fault or observation.
      *
-     * @param start microseconds
-     * @param end likewise; {@link #NEVER} where the outcome is not known
-     * @param by who made it
-     * @param op what it was
-     * @param facts all else
+     * @param start in microseconds
+     * @param end in microseconds; {@link #NEVER} if the outcome is unknown
+     * @param by the process or client that made it
+     * @param op the operation or kind of event
+     * @param facts all other fields
      */
     record Event(long start, long end, String by, String op, Map<String, Object> facts) {
 
@@ -37,26 +38,26 @@
             return value == null ? null : value.toString();
         }
 
-        long number(String name, long otherwise) {
-            return facts.get(name) instanceof Number number ? number.longValue() : otherwise;
+        long number(String name, long defaultValue) {
+            return facts.get(name) instanceof Number number ? number.longValue() : defaultValue;
         }
 
-        boolean known() {
+        boolean isKnown() {
             return end != NEVER;
         }
 
-        String line() {
+        String toJsonLine() {
             Map<String, Object> all = new LinkedHashMap<>();
             all.put("start", start);
-            all.put("end", known() ? end : null);
+            all.put("end", isKnown() ? end : null);
             all.put("by", by);
             all.put("op", op);
             all.putAll(facts);
-            return Json.text(all);
+            return Json.encode(all);
         }
 
         static Event parse(String line) {
-            Map<String, Object> all = Json.object(line);
+            Map<String, Object> all = Json.parse(line);
             Object end = all.remove("end");
             long start = ((Number) all.remove("start")).longValue();
             return new Event(start, end instanceof Number number ? number.longValue() : NEVER, all.remove("by").toString(),
@@ -74,7 +75,7 @@
         events.add(new Event(start, end, by, op, facts));
     }
 
-    /** What other processes have written in the same form; a last line that was cut short is left out. */
+    /** Adds the events of a file that another process wrote in the same form; skips a last line that is incomplete. */
     void addAll(Path file) {
         if (!Files.exists(file)) {
             return;
@@ -90,12 +91,12 @@
         }
     }
 
-    /** In the order of starts. */
+    /** All events, ordered by start. */
     synchronized List<Event> events() {
         return events.stream().sorted(Comparator.comparingLong(Event::start)).toList();
     }
 
-    /** Those of one kind, likewise. */
+    /** The events with that op, ordered by start. */
     List<Event> events(String op) {
         return events().stream().filter(event -> event.op.equals(op)).toList();
     }
@@ -103,7 +104,7 @@
     void write(Path file) throws IOException {
         try (BufferedWriter to = Files.newBufferedWriter(file, StandardCharsets.UTF_8)) {
             for (Event event : events()) {
-                to.write(event.line());
+                to.write(event.toJsonLine());
                 to.write('\n');
             }
         }
--- a/rig/src/main/java/mastdrift/rig/HolderCheck.java
+++ b/rig/src/main/java/mastdrift/rig/HolderCheck.java
@@ -6,16 +6,16 @@
 import java.util.Map;
 import mastdrift.rig.History.Event;
 
-/** One holder at a time, and tokens that only grow: events {@code granted} and {@code effect} with {@code lease} and
-    {@code token}, both as the log and those who are acted on accepted them; an effect may have a {@code step}, which takes
-    place once. */
+/** Checks leases: one holder at a time, and fencing tokens that never decrease. Events {@code granted} (from the log)
+    and {@code effect} (as accepted by the target) have {@code lease} and {@code token}; an effect may have a
+    {@code step}, which must take place only once. */
 final class HolderCheck implements Check {
 
     @Override
-    public Verdict look(History history) {
+    public Verdict evaluate(History history) {
         List<String> breaches = new ArrayList<>();
         Map<String, String> holders = new HashMap<>();
-        Map<String, Event> newest = new HashMap<>();
+        Map<String, Event> latestEffects = new HashMap<>();
         Map<String, Event> steps = new HashMap<>();
         for (Event event : history.events()) {
             String lease = event.text("lease");
@@ -26,17 +26,18 @@
                     breaches.add("token " + token + " of " + lease + " was given to " + other + " and to " + event.by());
                 }
             } else if (event.op().equals("effect")) {
-                Event before = newest.get(lease);
+                Event before = latestEffects.get(lease);
                 if (before != null && token < before.number("token", 0)) {
                     breaches.add(event.by() + " had an effect with token " + token + " of " + lease + " after "
                             + before.by() + " had one with " + before.number("token", 0));
                 } else {
-                    newest.put(lease, event);
+                    latestEffects.put(lease, event);
                 }
                 String step = event.text("step");
-                Event twin = step == null ? null : steps.put(lease + "#" + step, event);
-                if (twin != null) {
-                    breaches.add("step " + step + " of " + lease + " took place with " + twin.by() + " and with " + event.by());
+                Event earlier = step == null ? null : steps.put(lease + "#" + step, event);
+                if (earlier != null) {
+                    breaches.add("step " + step + " of " + lease + " took place with " + earlier.by() + " and with "
+                            + event.by());
                 }
             }
         }
--- a/rig/src/main/java/mastdrift/rig/Linearizability.java
+++ b/rig/src/main/java/mastdrift/rig/Linearizability.java
@@ -9,30 +9,30 @@
 import java.util.function.Predicate;
 
 /**
- * Whether calls that overlapped can be put in one order in which each takes effect between its start and its end. The
- * search is Wing and Gong's ("Testing and Verifying Concurrent Objects", 1993) with Lowe's memory of what was tried (2017):
- * the set of calls put in order so far and the state they lead to.
+ * Checks whether concurrent calls are linearizable: whether there is an order in which each takes effect between its
+ * start and its end. The search is Wing and Gong's ("Testing and Verifying Concurrent Objects", 1993) with Lowe's cache
+ * of visited configurations (2017): the set of calls ordered so far and the state that they lead to.
  */
 final class Linearizability<S> {
 
-    /** A call; {@code end} is {@link History#NEVER} for one whose outcome is not known: it may have taken effect at any time
+    /** A call; {@code end} is {@link History#NEVER} if its outcome is unknown: it may have taken effect at any time
         after its start, or never. */
     interface Call<S> {
         long start();
 
         long end();
 
-        /** The state after it, if what it told its caller fits this state. */
+        /** The state after the call, or empty if its result is impossible in this state. */
         Optional<S> after(S state);
     }
 
     enum Answer { YES, NO, OUT_OF_BUDGET }
 
-    private record Tried<S>(BitSet done, S state) { }
+    private record Configuration<S>(BitSet linearized, S state) { }
 
     private final List<Call<S>> calls;
     private final long budget;
-    private final Set<Tried<S>> tried = new HashSet<>();
+    private final Set<Configuration<S>> visited = new HashSet<>();
     private long steps;
 
     private Linearizability(List<? extends Call<S>> calls, long budget) {
@@ -41,47 +41,48 @@
         this.budget = budget;
     }
 
-    /** Tries at most {@code budget} steps. */
-    static <S> Answer of(List<? extends Call<S>> calls, S start, long budget) {
+    /** Searches for an order from the state {@code start}, in at most {@code budget} steps. */
+    static <S> Answer check(List<? extends Call<S>> calls, S start, long budget) {
         Linearizability<S> search = new Linearizability<>(calls, budget);
         boolean found = search.search(start);
         return found ? Answer.YES : search.steps >= budget ? Answer.OUT_OF_BUDGET : Answer.NO;
     }
 
-    /** First without those of unknown outcome that nobody seems to have seen the effect of: an order without them is an order,
-        and far sooner found. Only where there is none are they tried as well. */
-    static <S> Answer of(List<? extends Call<S>> calls, Predicate<Call<S>> seen, S start, long budget) {
-        List<? extends Call<S>> fewer = calls.stream().filter(call -> call.end() != History.NEVER || seen.test(call)).toList();
-        return of(fewer, start, budget) == Answer.YES ? Answer.YES : of(calls, start, budget);
+    /** Searches first without the calls of unknown outcome whose effect nobody has {@code seen}, since an order without
+        them is valid and found much faster. Only if there is none, searches with all calls. */
+    static <S> Answer check(List<? extends Call<S>> calls, Predicate<Call<S>> seen, S start, long budget) {
+        List<? extends Call<S>> observed = calls.stream().filter(call -> call.end() != History.NEVER || seen.test(call))
+                .toList();
+        return check(observed, start, budget) == Answer.YES ? Answer.YES : check(calls, start, budget);
     }
 
-    /** A place in the search: what was put in order, and which call is to be tried next. */
+    /** A level of the search: the state reached, the call that led to it, and the next call to try. */
     private static final class Frame<S> {
         private final S state;
-        private final int taken;  // by which the frame before came here
+        private final int callIndex;  // the call that led here from the level above; -1 at the root
         private int next;
 
-        Frame(S state, int taken) {
+        Frame(S state, int callIndex) {
             this.state = state;
-            this.taken = taken;
+            this.callIndex = callIndex;
         }
     }
 
     private boolean search(S start) {
-        BitSet done = new BitSet(calls.size());
-        int[] known = {(int) calls.stream().filter(call -> call.end() != History.NEVER).count()};
+        BitSet linearized = new BitSet(calls.size());
+        int[] unplacedKnown = {(int) calls.stream().filter(call -> call.end() != History.NEVER).count()};
         List<Frame<S>> path = new ArrayList<>();
         path.add(new Frame<>(start, -1));
         while (!path.isEmpty()) {
-            if (known[0] == 0) {
+            if (unplacedKnown[0] == 0) {
                 return true;
             }
             Frame<S> frame = path.get(path.size() - 1);
-            if (!step(frame, path, done, known)) {
+            if (!placeNext(frame, path, linearized, unplacedKnown)) {
                 path.remove(path.size() - 1);
-                if (frame.taken >= 0) {
-                    done.clear(frame.taken);
-                    known[0] += calls.get(frame.taken).end() == History.NEVER ? 0 : 1;
+                if (frame.callIndex >= 0) {
+                    linearized.clear(frame.callIndex);
+                    unplacedKnown[0] += calls.get(frame.callIndex).end() == History.NEVER ? 0 : 1;
                 }
             }
             if (steps >= budget) {
@@ -91,33 +92,35 @@
         return false;
     }
 
-    /** Puts one more call in order, if any can be. */
-    private boolean step(Frame<S> frame, List<Frame<S>> path, BitSet done, int[] known) {
-        long firstEnd = firstEnd(done);
-        for (int i = Math.max(frame.next, done.nextClearBit(0)); i < calls.size() && calls.get(i).start() <= firstEnd; i++) {
-            if (done.get(i)) {
+    /** Appends the next possible call to the order and adds its frame to the path; false if there is none. */
+    private boolean placeNext(Frame<S> frame, List<Frame<S>> path, BitSet linearized, int[] unplacedKnown) {
+        long firstEnd = earliestEnd(linearized);
+        for (int i = Math.max(frame.next, linearized.nextClearBit(0)); i < calls.size()
+                && calls.get(i).start() <= firstEnd; i++) {
+            if (linearized.get(i)) {
                 continue;
             }
             steps++;
             Optional<S> after = calls.get(i).after(frame.state);
             if (after.isPresent()) {
-                done.set(i);
-                if (tried.add(new Tried<>((BitSet) done.clone(), after.get()))) {
+                linearized.set(i);
+                if (visited.add(new Configuration<>((BitSet) linearized.clone(), after.get()))) {
                     frame.next = i + 1;
-                    known[0] -= calls.get(i).end() == History.NEVER ? 0 : 1;
+                    unplacedKnown[0] -= calls.get(i).end() == History.NEVER ? 0 : 1;
                     path.add(new Frame<>(after.get(), i));
                     return true;
                 }
-                done.clear(i);
+                linearized.clear(i);
             }
         }
         return false;
     }
 
-    /** What is left may begin with no call that started after another had ended. */
-    private long firstEnd(BitSet done) {
+    /** The earliest end of the calls not ordered yet: none that started later may come next. */
+    private long earliestEnd(BitSet linearized) {
         long first = Long.MAX_VALUE;
-        for (int i = done.nextClearBit(0); i < calls.size() && calls.get(i).start() <= first; i = done.nextClearBit(i + 1)) {
+        for (int i = linearized.nextClearBit(0); i < calls.size()
+                && calls.get(i).start() <= first; i = linearized.nextClearBit(i + 1)) {
             first = Math.min(first, calls.get(i).end());
         }
         return first;
--- a/rig/src/main/java/mastdrift/rig/LogWatch.java
+++ b/rig/src/main/java/mastdrift/rig/LogWatcher.java
@@ -10,16 +10,16 @@
 import java.util.Map;
 import java.util.regex.Pattern;
 
-/** Looks for a line in logs that grow: each call looks at what has come since the one before. */
-final class LogWatch {
+/** Looks for a line in growing log files; each call reads only what was added since the one before. */
+final class LogWatcher {
 
     private final Pattern pattern;
-    private final Map<Path, Long> read = new HashMap<>();
+    private final Map<Path, Long> offsets = new HashMap<>();
 
-    /** What stands in the logs by now does not count. */
-    LogWatch(String expression, List<Path> logs) {
+    /** Lines that are in the logs already are skipped. */
+    LogWatcher(String expression, List<Path> logs) {
         pattern = Pattern.compile(expression);
-        logs.forEach(log -> read.put(log, size(log)));
+        logs.forEach(log -> offsets.put(log, size(log)));
     }
 
     private static long size(Path log) {
@@ -30,24 +30,25 @@
         }
     }
 
-    /** Whether it has been seen since. */
-    boolean seen() {
-        for (Map.Entry<Path, Long> each : read.entrySet()) {
+    /** Whether a line that matches has been added since the last call. */
+    boolean matched() {
+        for (Map.Entry<Path, Long> each : offsets.entrySet()) {
             if (size(each.getKey()) <= each.getValue()) {
                 continue;
             }
             try (RandomAccessFile log = new RandomAccessFile(each.getKey().toFile(), "r")) {
                 log.seek(each.getValue());
-                byte[] fresh = new byte[(int) (log.length() - each.getValue())];
-                log.readFully(fresh);
-                String text = new String(fresh, StandardCharsets.UTF_8);
-                int whole = text.lastIndexOf('\n') + 1;
-                each.setValue(each.getValue() + text.substring(0, whole).getBytes(StandardCharsets.UTF_8).length);
-                if (text.substring(0, whole).lines().anyMatch(line -> pattern.matcher(line).find())) {
+                byte[] added = new byte[(int) (log.length() - each.getValue())];
+                log.readFully(added);
+                String text = new String(added, StandardCharsets.UTF_8);
+                int completeLength = text.lastIndexOf('\n') + 1;
+                each.setValue(each.getValue() + text.substring(0, completeLength)
+                        .getBytes(StandardCharsets.UTF_8).length);
+                if (text.substring(0, completeLength).lines().anyMatch(line -> pattern.matcher(line).find())) {
                     return true;
                 }
             } catch (IOException e) {
-                return false;  // it has been taken away with its folder
+                return false;  // the log was deleted with its folder
             }
         }
         return false;
--- a/rig/src/main/java/mastdrift/rig/Program.java
+++ b/rig/src/main/java/mastdrift/rig/ManagedProcess.java
@@ -14,11 +14,11 @@
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Stream;
 
-/** A process that the rig starts, with a folder of its own for its files and its log; ended by its id. Commands come from
-    the rig's own thread of faults. */
-final class Program {
+/** A process that the rig starts, with its own folder for its data and its log. Signals are sent to its process id
+    only. Called from the fault injector's thread while faults are injected. */
+final class ManagedProcess {
 
-    /** Of it all that a start needs; {@code data} is the folder that it calls its own. */
+    /** What is needed to start it; {@code data} is the folder in which it stores its own files. */
     record Spec(String name, List<String> command, Map<String, String> environment, Path folder, Path workingFolder) {
         Path data() {
             return folder.resolve("data");
@@ -29,23 +29,23 @@
         }
     }
 
-    private static final int END_SECONDS = 20;
-    private static final int HEARS_AFTER_MILLIS = 1000;
+    private static final int EXIT_TIMEOUT_SECONDS = 20;
+    private static final int NO_HANGUP_MILLIS = 1000;
 
-    /** Held while a process is started, and by whoever opens a socket that is to be gone once it is closed: a child has all of
-        its parent's sockets until it has closed them, which on a busy machine is later than the parent has. */
-    static final Object FORKING = new Object();
+    /** The lock held while a process is started, and around a socket whose port must be free once it is closed: a child
+        inherits its parent's sockets, and on a busy machine it may close them later than the parent does. */
+    static final Object FORK_LOCK = new Object();
 
     private final Spec spec;
-    private final Warden warden;
+    private final ProcessReaper reaper;
     private volatile Process process;
     private volatile long startedAt;
-    private Duration cpuBefore = Duration.ZERO;  // of the processes before this one
+    private Duration earlierCpuTime = Duration.ZERO;  // of earlier processes of this name
     private volatile boolean frozen;
 
-    Program(Spec spec, Warden warden) {
+    ManagedProcess(Spec spec, ProcessReaper reaper) {
         this.spec = spec;
-        this.warden = warden;
+        this.reaper = reaper;
     }
 
     String name() {
@@ -62,11 +62,11 @@
             ProcessBuilder builder = new ProcessBuilder(spec.command).directory(spec.workingFolder.toFile())
                     .redirectErrorStream(true).redirectOutput(ProcessBuilder.Redirect.appendTo(spec.log().toFile()));
             builder.environment().putAll(spec.environment);
-            synchronized (FORKING) {
+            synchronized (FORK_LOCK) {
                 process = builder.start();
                 startedAt = System.nanoTime();
             }
-            warden.began(process.pid());
+            reaper.processStarted(process.pid());
         } catch (IOException e) {
             throw new UncheckedIOException("can't start " + spec.name + ": " + e.getMessage(), e);
         }
@@ -76,80 +76,82 @@
         return process.pid();
     }
 
-    boolean alive() {
+    boolean isAlive() {
         return process != null && process.isAlive();
     }
 
     /** Alive, and not frozen. */
-    boolean running() {
-        return alive() && !frozen;
+    boolean isRunning() {
+        return isAlive() && !frozen;
     }
 
-    /** Null while it runs. */
-    Integer status() {
-        return alive() || process == null ? null : process.exitValue();
+    /** The exit status; null while it runs or before its first start. */
+    Integer exitStatus() {
+        return isAlive() || process == null ? null : process.exitValue();
     }
 
-    /** Of all its processes so far. */
-    Duration cpu() {
-        return alive() ? cpuBefore.plus(process.info().totalCpuDuration().orElse(Duration.ZERO)) : cpuBefore;
+    /** The CPU time of all its processes so far, restarts included. */
+    Duration cpuTime() {
+        return isAlive() ? earlierCpuTime.plus(process.info().totalCpuDuration().orElse(Duration.ZERO))
+                : earlierCpuTime;
     }
 
-    /** A line on its standard input; one who has gone does not hear it. */
-    void tell(String line) {
+    /** Writes a line to its standard input; does nothing if it has ended. */
+    void writeLine(String line) {
         try {
-            OutputStream to = process.getOutputStream();
-            to.write((line + "\n").getBytes(StandardCharsets.UTF_8));
-            to.flush();
+            OutputStream input = process.getOutputStream();
+            input.write((line + "\n").getBytes(StandardCharsets.UTF_8));
+            input.flush();
         } catch (IOException e) {
-            // it has ended, and its end is told elsewhere
+            // it has ended, which is reported elsewhere
         }
     }
 
-    /** SIGKILL, also of one that is frozen; waits until it is gone. */
+    /** Sends SIGKILL, which also ends a frozen process, and waits for its end. */
     void kill() {
-        end("KILL");
+        signalAndWait("KILL");
     }
 
-    /** SIGTERM, whose end nobody waits for. */
-    void terminate() {
-        if (alive()) {
+    /** Sends SIGTERM and does not wait. */
+    void sendTerminate() {
+        if (isAlive()) {
             signal("TERM");
         }
     }
 
-    /** SIGHUP, unless the process has just begun: the platform sends none in the first second, nor before it is ready. */
-    void hangUp() {
-        if (alive() && System.nanoTime() - startedAt > TimeUnit.MILLISECONDS.toNanos(HEARS_AFTER_MILLIS)) {
+    /** Sends SIGHUP, but not in the process's first second: the platform sends none then, nor before the process is
+        ready. */
+    void sendHangUp() {
+        if (isAlive() && System.nanoTime() - startedAt > TimeUnit.MILLISECONDS.toNanos(NO_HANGUP_MILLIS)) {
             signal("HUP");
         }
     }
 
-    /** SIGTERM; waits for its end, and kills it if that takes too long. True if it ended by itself. */
-    boolean term() {
-        return end("TERM");
+    /** Sends SIGTERM, waits for its end, and kills it on timeout. True if it ended without being killed. */
+    boolean terminateAndWait() {
+        return signalAndWait("TERM");
     }
 
-    private boolean end(String signal) {
-        if (!alive()) {
+    private boolean signalAndWait(String signal) {
+        if (!isAlive()) {
             return true;
         }
-        Duration cpu = cpu();
+        Duration cpu = cpuTime();
         signal(signal);
-        boolean ended = await();
-        if (!ended) {
+        boolean exited = awaitExit();
+        if (!exited) {
             process.destroyForcibly();
-            await();
+            awaitExit();
         }
-        cpuBefore = cpu;
+        earlierCpuTime = cpu;
         frozen = false;
-        warden.ended(process.pid());
-        return ended;
+        reaper.processEnded(process.pid());
+        return exited;
     }
 
-    private boolean await() {
+    private boolean awaitExit() {
         try {
-            return process.waitFor(END_SECONDS, TimeUnit.SECONDS);
+            return process.waitFor(EXIT_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             return false;
@@ -161,8 +163,8 @@
         signal("STOP");
     }
 
-    void wake() {
-        if (frozen && alive()) {
+    void resume() {
+        if (frozen && isAlive()) {
             frozen = false;
             signal("CONT");
         }
@@ -178,23 +180,23 @@
         }
     }
 
-    /** Puts a copy of its folder aside, for {@link #older}; what changes under the copying is as it is met. */
-    void keepCopy() {
+    /** Copies its data folder for {@link #restoreBackup}, not atomically: files may change while they are copied. */
+    void backUpData() {
         copy(spec.data(), spec.folder.resolve("older"));
     }
 
-    /** Takes the copy in place of its folder; while it is down. */
-    void older() {
+    /** Replaces its data folder by the copy; only while it is down. */
+    void restoreBackup() {
         copy(spec.folder.resolve("older"), spec.data());
     }
 
-    /** Leaves it nothing; while it is down. */
-    void wipe() {
-        delete(spec.data());
+    /** Deletes its data folder; only while it is down. */
+    void deleteData() {
+        deleteFolder(spec.data());
     }
 
     private static void copy(Path from, Path to) {
-        delete(to);
+        deleteFolder(to);
         try (Stream<Path> all = Files.walk(from)) {
             for (Path each : (Iterable<Path>) all::iterator) {
                 Path target = to.resolve(from.relativize(each).toString());
@@ -209,7 +211,7 @@
         }
     }
 
-    static void delete(Path folder) {
+    static void deleteFolder(Path folder) {
         if (!Files.exists(folder)) {
             return;
         }
--- a/rig/src/main/java/mastdrift/rig/Warden.java
+++ b/rig/src/main/java/mastdrift/rig/ProcessReaper.java
@@ -5,9 +5,9 @@
 import java.io.Writer;
 import java.nio.charset.StandardCharsets;
 
-/** Ends the rig's processes when the rig itself was killed: a shell that is told their ids, and kills those that still run
-    once the pipe from the rig has ended. */
-final class Warden implements AutoCloseable {
+/** Kills the rig's processes when the rig itself has been killed: a shell process that is told their ids through a
+    pipe, and kills those still running when the pipe is closed. */
+final class ProcessReaper implements AutoCloseable {
 
     private static final String SCRIPT = """
             trap '' INT TERM HUP
@@ -22,40 +22,40 @@
             """;
 
     private final Process process;
-    private final Writer to;
+    private final Writer pipe;
 
-    Warden() {
+    ProcessReaper() {
         try {
             process = new ProcessBuilder("sh", "-c", SCRIPT).redirectErrorStream(true)
                     .redirectOutput(ProcessBuilder.Redirect.DISCARD).start();
-            to = process.outputWriter(StandardCharsets.UTF_8);
+            pipe = process.outputWriter(StandardCharsets.UTF_8);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
     }
 
-    void began(long pid) {
-        tell("began " + pid);
+    void processStarted(long pid) {
+        send("began " + pid);
     }
 
-    void ended(long pid) {
-        tell("ended " + pid);
+    void processEnded(long pid) {
+        send("ended " + pid);
     }
 
-    private synchronized void tell(String line) {
+    private synchronized void send(String line) {
         try {
-            to.write(line + "\n");
-            to.flush();
+            pipe.write(line + "\n");
+            pipe.flush();
         } catch (IOException e) {
-            throw new UncheckedIOException("the warden has gone", e);
+            throw new UncheckedIOException("the process reaper has ended", e);
         }
     }
 
-    /** Kills what still runs, too. */
+    /** Kills the processes that still run, and waits for the shell. */
     @Override
     public void close() {
         try {
-            to.close();
+            pipe.close();
             process.waitFor();
         } catch (IOException e) {
             throw new UncheckedIOException(e);
--- a/rig/src/main/java/mastdrift/rig/Report.java
+++ b/rig/src/main/java/mastdrift/rig/Report.java
@@ -14,39 +14,39 @@
 import mastdrift.common.Json;
 import org.HdrHistogram.Histogram;
 
-/** One page of all plays in a folder, which needs nothing beside it. */
+/** Writes self-contained HTML pages: of all runs in a folder, or of the benchmark of the list service. */
 final class Report {
 
     private static final String UPLOT = "/META-INF/resources/webjars/uplot/1.6.30/dist/";
 
     private Report() { }
 
-    /** Throws IOException where the folder holds no play. */
+    /** Writes the page of all runs in the folder; throws IOException if there are none. */
     static void write(Path folder, Path page) throws IOException {
-        List<Path> plays;
+        List<Path> histories;
         try (Stream<Path> all = Files.list(folder)) {
-            plays = all.map(each -> each.resolve("history.jsonl")).filter(Files::exists).sorted(
+            histories = all.map(each -> each.resolve("history.jsonl")).filter(Files::exists).sorted(
                     java.util.Comparator.comparingLong(Report::seed)).toList();
         }
-        if (plays.isEmpty()) {
-            throw new IOException("no play in " + folder);
+        if (histories.isEmpty()) {
+            throw new IOException("no history.jsonl of a run in " + folder);
         }
-        List<String> shown = new ArrayList<>();
-        for (Path play : plays) {
-            shown.add(Json.text(summary(History.read(play))).replace("</", "<\\/"));
+        List<String> summaries = new ArrayList<>();
+        for (Path history : histories) {
+            summaries.add(Json.encode(summary(History.read(history))).replace("</", "<\\/"));
         }
-        page("/rig.html", shown, page);
+        writePage("/rig.html", summaries, page);
     }
 
-    /** Of what the list service took at each size: figures as JSON, a line each. */
-    static void crowd(List<String> figures, Path page) throws IOException {
-        page("/crowd.html", figures, page);
+    /** Writes the page of the list service's benchmark; {@code figures} has a JSON object for each size. */
+    static void writeBenchmark(List<String> figures, Path page) throws IOException {
+        writePage("/crowd.html", figures, page);
     }
 
-    private static void page(String template, List<String> plays, Path page) throws IOException {
+    private static void writePage(String template, List<String> data, Path page) throws IOException {
         String html = resource(template).replace("/*UPLOT_CSS*/", resource(UPLOT + "uPlot.min.css"))
                 .replace("/*UPLOT_JS*/", resource(UPLOT + "uPlot.iife.min.js"))
-                .replace("/*PLAYS*/", String.join(",\n", plays));
+                .replace("/*PLAYS*/", String.join(",\n", data));
         Files.writeString(page, html, StandardCharsets.UTF_8);
     }
 
@@ -55,17 +55,17 @@
         return name.startsWith("seed-") ? Long.parseLong(name.substring(5)) : 0;
     }
 
-    /** Times are seconds from the beginning of the load. */
+    /** What the page shows of one run; times are seconds from the start of the load. */
     private static Map<String, Object> summary(History history) {
         History.Event began = history.events("began").get(0);
-        Map<String, Object> play = new LinkedHashMap<>(began.facts());
-        history.events("verdicts").forEach(event -> play.putAll(event.facts()));
-        play.put("faults", bands(history.events("fault"), began.start()));
-        List<History.Event> held = new ArrayList<>(history.events("view"));
-        held.addAll(history.events("granted"));
-        play.put("held", bands(held, began.start()));
-        play.put("windows", windows(history.events("request"), began));
-        return play;
+        Map<String, Object> run = new LinkedHashMap<>(began.facts());
+        history.events("verdicts").forEach(event -> run.putAll(event.facts()));
+        run.put("faults", bands(history.events("fault"), began.start()));
+        List<History.Event> duties = new ArrayList<>(history.events("view"));
+        duties.addAll(history.events("granted"));
+        run.put("held", bands(duties, began.start()));
+        run.put("windows", windows(history.events("request"), began));
+        return run;
     }
 
     private static List<Map<String, Object>> bands(List<History.Event> events, long zero) {
@@ -75,7 +75,7 @@
             band.put("by", event.by());
             band.put("op", event.op());
             band.put("from", (event.start() - zero) / 1e6);
-            band.put("to", event.known() ? (event.end() - zero) / 1e6 : null);
+            band.put("to", event.isKnown() ? (event.end() - zero) / 1e6 : null);
             bands.add(band);
         }
         return bands;
@@ -91,7 +91,7 @@
             long micros = request.end() - request.start();
             if (outcome.equals("served")) {
                 times.computeIfAbsent(second, s -> new Histogram(60_000_000L, 3)).recordValue(Math.min(micros, 60_000_000L));
-                outcome = micros > Load.DEADLINE_MILLIS * 1000L ? "late" : "served";
+                outcome = micros > LoadGenerator.DEADLINE_MILLIS * 1000L ? "late" : "served";
             } else if (!outcome.equals("refused")) {
                 outcome = "failed";
             }
@@ -107,7 +107,7 @@
     private static String resource(String name) throws IOException {
         try (InputStream in = Report.class.getResourceAsStream(name)) {
             if (in == null) {
-                throw new IOException("the rig lacks " + name);
+                throw new IOException("resource " + name + " is not on the class path");
             }
             return new String(in.readAllBytes(), StandardCharsets.UTF_8);
         }
--- a/rig/src/main/java/mastdrift/rig/RollCheck.java
+++ b/rig/src/main/java/mastdrift/rig/RollCheck.java
@@ -6,31 +6,36 @@
 import java.util.Map;
 import mastdrift.rig.History.Event;
 
-/** A roll ends, complete or wholly back; no two gateways are out at once; a step is recorded once by each replica, and with
-    tokens that only grow. Events {@code standby} are moments at which a gateway said so, {@code recorded} a replica's log. */
+/** Checks a rolling restart: it ends as done or aborted; no two gateways are out of service at once; each replica
+    records a step once, with fencing tokens that never decrease. Events {@code standby} are moments at which a gateway
+    reported standby, {@code recorded} are from a replica's log. */
 final class RollCheck implements Check {
 
-    private static final long APART = 1_000_000;  // moments closer than this are one time out
+    // Reports of standby closer than this are one period out of service.
+    private static final long NEW_STANDBY_GAP_MICROS = 1_000_000;
 
     @Override
-    public Verdict look(History history) {
+    public Verdict evaluate(History history) {
         List<String> breaches = new ArrayList<>();
-        List<Event> ends = history.events("roll");
-        if (ends.isEmpty() || !ends.get(0).text("phase").equals("done") && !ends.get(0).text("phase").equals("aborted")) {
-            breaches.add("the roll did not end: " + (ends.isEmpty() ? "nobody knows" : ends.get(0).text("phase")));
+        List<Event> rollEvents = history.events("roll");
+        if (rollEvents.isEmpty() || !rollEvents.get(0).text("phase").equals("done")
+                && !rollEvents.get(0).text("phase").equals("aborted")) {
+            breaches.add("the roll did not end: "
+                    + (rollEvents.isEmpty() ? "phase unknown" : rollEvents.get(0).text("phase")));
         }
-        Map<String, Long> since = new HashMap<>();
-        Map<String, Long> last = new HashMap<>();
+        Map<String, Long> standbySince = new HashMap<>();
+        Map<String, Long> lastSeen = new HashMap<>();
         for (Event event : history.events("standby")) {
-            if (event.start() - last.getOrDefault(event.by(), Long.MIN_VALUE / 2) > APART) {
-                since.put(event.by(), event.start());
+            if (event.start() - lastSeen.getOrDefault(event.by(), Long.MIN_VALUE / 2) > NEW_STANDBY_GAP_MICROS) {
+                standbySince.put(event.by(), event.start());
             }
-            last.put(event.by(), event.start());
-            last.forEach((other, at) -> {
-                // The one that was out first said so after the other did, too.
-                boolean first = since.get(event.by()) < since.getOrDefault(other, Long.MAX_VALUE);
-                boolean both = first ? event.start() > since.get(other) : at > since.get(event.by());
-                if (!other.equals(event.by()) && both) {
+            lastSeen.put(event.by(), event.start());
+            lastSeen.forEach((other, lastAt) -> {
+                // They overlap if the one that went out first still reports standby after the other has begun to.
+                boolean wentFirst = standbySince.get(event.by()) < standbySince.getOrDefault(other, Long.MAX_VALUE);
+                boolean overlaps = wentFirst ? event.start() > standbySince.get(other)
+                        : lastAt > standbySince.get(event.by());
+                if (!other.equals(event.by()) && overlaps) {
                     breaches.add(other + " and " + event.by() + " were out at once");
                 }
             });
--- a/rig/src/main/java/mastdrift/rig/SystemCallFaults.java
+++ b/rig/src/main/java/mastdrift/rig/SystemCallFaults.java
@@ -12,8 +12,8 @@
 import java.util.List;
 import java.util.Map;
 
-/** Makes system calls of processes fail, by a library of ours that is preloaded into each. Rules are written into a control
-    file, which the process maps; they can change while it runs. Commands come from one thread at a time. */
+/** Makes system calls of processes fail, by a library that is preloaded into each (rig/src/main/c). Rules are written
+    into a control file that the process maps, and can change while it runs. Used by one thread at a time. */
 final class SystemCallFaults {
 
     private static final int CONTROL_BYTES = 4096;
@@ -23,66 +23,68 @@
     private final Path root;
     private final Path folder;
     private final long seed;
-    private final Map<String, List<Fault>> active = new HashMap<>();
+    private final Map<String, List<Fault>> activeFaults = new HashMap<>();
     private long generation;
 
-    /** The project's folder, and that for the control files and logs. */
+    /** {@code root} is the project's folder; control files and logs go to {@code folder}. */
     SystemCallFaults(Path root, Path folder, long seed) {
         this.root = root;
         this.folder = folder;
         this.seed = seed;
     }
 
-    /** What a process needs in its environment. Throws IllegalStateException where the library can't be compiled. */
+    /** The environment variables that a process needs. Throws IllegalStateException if the library can't be
+        compiled. */
     Map<String, String> environment(String name) throws IOException {
         Path library = library(root);
-        Path control = control(name);
+        Path control = controlFile(name);
         if (!Files.exists(control)) {
             Files.write(control, new byte[CONTROL_BYTES]);
         }
         return Map.of("LD_PRELOAD", library.toString(), "SYSCALL_FAULTS", control.toString(), "SYSCALL_LOG",
-                log(name).toString(), "SYSCALL_FOLDER", folder.toString());
+                logFile(name).toString(), "SYSCALL_FOLDER", folder.toString());
     }
 
-    private Path control(String name) {
+    private Path controlFile(String name) {
         return folder.resolve(name + ".faults");
     }
 
-    /** A line for each injected fault. */
-    Path log(String name) {
+    /** The log of the process's injected faults, one on each line. */
+    Path logFile(String name) {
         return folder.resolve(name + ".faults.log");
     }
 
     synchronized void begin(Fault fault, String name) {
-        active.computeIfAbsent(name, each -> new ArrayList<>()).add(fault);
+        activeFaults.computeIfAbsent(name, each -> new ArrayList<>()).add(fault);
         write(name);
     }
 
     synchronized void end(Fault fault, String name) {
-        active.getOrDefault(name, List.of()).remove(fault);
+        activeFaults.getOrDefault(name, List.of()).remove(fault);
         write(name);
     }
 
-    /** The first line, by which readers see that there is something new, comes last. */
+    /** Writes the process's active rules. The first line, by which the library detects a change, is written last. */
     private void write(String name) {
         generation++;
-        String first = generation + " " + seed + "\n";
+        String header = generation + " " + seed + "\n";
         StringBuilder rules = new StringBuilder();
-        active.get(name).forEach(fault -> rules.append(fault.systemCall().rule(Math.round(fault.size()))).append('\n'));
-        byte[] text = new byte[CONTROL_BYTES];
-        byte[] all = (first + rules).getBytes(StandardCharsets.UTF_8);
-        System.arraycopy(all, 0, text, 0, all.length);
-        try (RandomAccessFile file = new RandomAccessFile(control(name).toFile(), "rw")) {
-            file.seek(first.length());
-            file.write(text, first.length(), CONTROL_BYTES - first.length());
+        activeFaults.get(name).forEach(fault -> rules.append(fault.systemCall()
+                .toRuleLine(Math.round(fault.magnitude()))).append('\n'));
+        byte[] page = new byte[CONTROL_BYTES];
+        byte[] content = (header + rules).getBytes(StandardCharsets.UTF_8);
+        System.arraycopy(content, 0, page, 0, content.length);
+        try (RandomAccessFile file = new RandomAccessFile(controlFile(name).toFile(), "rw")) {
+            file.seek(header.length());
+            file.write(page, header.length(), CONTROL_BYTES - header.length());
             file.seek(0);
-            file.write(text, 0, first.length());
+            file.write(page, 0, header.length());
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
     }
 
-    /** The compiled library, made anew where its source is newer. */
+    /** The compiled library, compiled again if its source is newer. */
     static synchronized Path library(Path root) throws IOException {
         Path source = root.resolve(SOURCE);
         Path library = root.resolve(LIBRARY);
@@ -91,9 +93,9 @@
             return library;
         }
         Files.createDirectories(library.getParent());
-        Path made = Files.createTempFile(library.getParent(), "libsyscallfaults", ".so");
-        compile(source, made);
-        return Files.move(made, library, StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
+        Path compiled = Files.createTempFile(library.getParent(), "libsyscallfaults", ".so");
+        compile(source, compiled);
+        return Files.move(compiled, library, StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
     }
 
     private static void compile(Path source, Path into) throws IOException {
@@ -105,10 +107,10 @@
         } catch (IOException e) {
             throw new IllegalStateException("no C compiler for " + SOURCE + ": install gcc (apt-get install gcc libc6-dev)", e);
         }
-        String said = new String(compiler.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+        String output = new String(compiler.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         try {
             if (compiler.waitFor() != 0) {
-                throw new IllegalStateException("can't compile " + SOURCE + ": " + said);
+                throw new IllegalStateException("can't compile " + SOURCE + ": " + output);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/rig/src/main/java/mastdrift/rig/ViewCheck.java
+++ b/rig/src/main/java/mastdrift/rig/ViewCheck.java
@@ -8,17 +8,17 @@
 import java.util.Set;
 import mastdrift.rig.History.Event;
 
-/** Events {@code view} with {@code number} and {@code members}: a number has one content, nobody goes back, and all have the
-    newest within the bound that the event {@code healed} names in {@code within_ms}, but for what nobody had
-    {@code lag_ms} before that. Only those that are {@code alive} at the end can be late. */
+/** Checks views (events {@code view} with {@code number} and {@code members}): a number has one content, no member goes
+    back to an older view, and within {@code within_ms} of the event {@code healed} all members that are {@code alive}
+    at the end have the newest view. Views that nobody had {@code lag_ms} before that bound are not required. */
 final class ViewCheck implements Check {
 
     @Override
-    public Verdict look(History history) {
+    public Verdict evaluate(History history) {
         List<String> breaches = new ArrayList<>();
-        Map<Long, Event> contents = new HashMap<>();
-        Map<String, Long> latest = new HashMap<>();
-        Set<String> all = new HashSet<>();
+        Map<Long, Event> firstByNumber = new HashMap<>();
+        Map<String, Long> latestByMember = new HashMap<>();
+        Set<String> processes = new HashSet<>();
         Event healed = null;
         Map<String, Long> atBound = new HashMap<>();
         long newest = 0;
@@ -29,13 +29,13 @@
             if (!event.op().equals("view")) {
                 continue;
             }
-            all.add(event.by());
+            processes.add(event.by());
             long number = event.number("number", 0);
-            Event before = contents.putIfAbsent(number, event);
+            Event before = firstByNumber.putIfAbsent(number, event);
             if (before != null && !before.facts().get("members").equals(event.facts().get("members"))) {
                 breaches.add("view " + number + " has two contents, one with " + before.by() + " and one with " + event.by());
             }
-            Long last = latest.put(event.by(), number);
+            Long last = latestByMember.put(event.by(), number);
             if (last != null && number < last) {
                 breaches.add(event.by() + " went back from view " + last + " to " + number);
             }
@@ -47,9 +47,9 @@
                 newest = Math.max(newest, number);
             }
         }
-        history.events("alive").forEach(event -> all.retainAll((List<?>) event.facts().get("names")));
+        history.events("alive").forEach(event -> processes.retainAll((List<?>) event.facts().get("names")));
         if (healed != null) {
-            for (String by : all) {
+            for (String by : processes) {
                 if (atBound.getOrDefault(by, 0L) < newest) {
                     breaches.add(by + " had view " + atBound.get(by) + " when others had " + newest + ", "
                             + healed.number("within_ms", 0) + " ms after the healing");
--- a/rig/src/test/java/mastdrift/rig/PlanTest.java
+++ b/rig/src/test/java/mastdrift/rig/PlanTest.java
@@ -8,9 +8,10 @@
 import mastdrift.common.TomlFile;
 import org.junit.jupiter.api.Test;
 
+/** Tests the reading of plans and the drawing of faults. */
 class PlanTest {
 
-    private static final String GATEWAYS = """
+    private static final String PLAN = """
             name = "some"
             [gateways]
             count = 4
@@ -32,30 +33,33 @@
             """;
 
     @Test
-    void theSameSeedDrawsTheSameFaults() throws Exception {
-        RigPlan plan = PlanFile.parse(GATEWAYS, "some.toml");
-        List<String> names = Stage.names(plan);
-        List<Fault> faults = Draw.faults(plan, names, 7);
-        assertEquals(faults, Draw.faults(PlanFile.parse(GATEWAYS, "some.toml"), names, 7));
-        assertNotEquals(faults, Draw.faults(plan, names, 8));
+    void sameSeedDrawsSameFaults() throws Exception {
+        RigPlan plan = PlanFile.parse(PLAN, "some.toml");
+        List<String> names = TestBed.names(plan);
+        List<Fault> faults = FaultSchedule.draw(plan, names, 7);
+        assertEquals(faults, FaultSchedule.draw(PlanFile.parse(PLAN, "some.toml"), names, 7));
+        assertNotEquals(faults, FaultSchedule.draw(plan, names, 8));
         assertEquals(3, faults.size());
         assertEquals(List.of("gateway-1", "gateway-2"), faults.get(0).processes());
-        assertEquals(List.of("host-a-1", "host-a-2"), faults.get(0).others());
-        assertEquals(Link.Way.BACK, faults.get(0).way());
+        assertEquals(List.of("host-a-1", "host-a-2"), faults.get(0).targets());
+        assertEquals(Link.Way.BACK, faults.get(0).direction());
         assertEquals(2, faults.get(1).processes().size());
     }
 
-    /** A fault that is added moves nothing of the others: a plan can grow and its seeds stay what they were. */
+    /** Guards against a fault added to a plan that changes what earlier faults draw: the plan's seeds would lose their
+        meaning. */
     @Test
-    void aFurtherFaultMovesNoOther() throws Exception {
-        RigPlan plan = PlanFile.parse(GATEWAYS, "some.toml");
-        RigPlan more = PlanFile.parse(GATEWAYS + "[[fault]]\nkind = \"freeze\"\nprocess = \"gateway-*\"\n", "more.toml");
-        assertEquals(Draw.faults(plan, Stage.names(plan), 3), Draw.faults(more, Stage.names(more), 3).subList(0, 3));
+    void addedFaultChangesNoOther() throws Exception {
+        RigPlan plan = PlanFile.parse(PLAN, "some.toml");
+        RigPlan more = PlanFile.parse(PLAN + "[[fault]]\nkind = \"freeze\"\nprocess = \"gateway-*\"\n", "more.toml");
+        assertEquals(FaultSchedule.draw(plan, TestBed.names(plan), 3), FaultSchedule.draw(more, TestBed.names(more), 3)
+                .subList(0, 3));
     }
 
     @Test
-    void allThatIsWrongIsToldAtOnceWithItsLine() {
-        TomlFile.Faults faults = assertThrows(TomlFile.Faults.class, () -> PlanFile.parse("""
+    void allErrorsAreReportedWithTheirLines() {
+        TomlFile.ValidationException exception =
+                assertThrows(TomlFile.ValidationException.class, () -> PlanFile.parse("""
                 name = "odd"
                 relay = false
                 check = ["rules", "luck"]
@@ -72,7 +76,7 @@
                 when = "("
                 pikc = 2
                 """, "odd.toml"));
-        String all = faults.getMessage();
+        String all = exception.getMessage();
         for (String part : List.of("odd.toml:5: load.rate: needs [gateways] and [hosts]",
                 "odd.toml:3: check: expected some of", "odd.toml:7: fault[0].kind: needs from and to",
                 "odd.toml:7: fault[0].kind: needs links", "odd.toml:10: fault[1].kind: expected one of cut",
--- /dev/null
+++ b/src/main/java/mastdrift/net/BodyRelay.java
@@ -0,0 +1,138 @@
+package mastdrift.net;
+
+import io.netty.buffer.ByteBuf;
+import io.netty.channel.Channel;
+import io.netty.handler.codec.http.DefaultHttpContent;
+import io.netty.handler.codec.http.LastHttpContent;
+import java.util.ArrayDeque;
+import java.util.Queue;
+import java.util.function.Consumer;
+
+/** Passes the rest of a body from the connection that reads it to the one that writes it, in bounded memory: reading
+    pauses while the relay is full, and writing while the target channel is not writable. Used on one event loop's
+    thread. */
+final class BodyRelay {
+
+    // A single read may exceed it.
+    private static final int MAX_BUFFERED_BYTES = 32 << 10;
+
+    private final Queue<ByteBuf> buffers = new ArrayDeque<>();
+    private int bufferedBytes;
+    private boolean complete;
+    private boolean failed;
+    private boolean abandoned;
+    private boolean writing;
+    private Runnable onFullChange = () -> { };
+    private Channel target;
+    private Consumer<Boolean> onWritten;
+
+    // ---- the reading side
+
+    /** {@code listener} runs when the relay becomes full and when it is no longer full. */
+    void onFullChange(Runnable listener) {
+        onFullChange = listener;
+    }
+
+    /** Takes ownership of the buffer. */
+    void add(ByteBuf buffer) {
+        if (abandoned || isFinished()) {
+            buffer.release();
+            return;
+        }
+        buffers.add(buffer);
+        bufferedBytes += buffer.readableBytes();
+        resumeWriting();
+        if (isFull()) {
+            onFullChange.run();
+        }
+    }
+
+    /** The whole body has been added. */
+    void complete() {
+        complete = !failed;
+        resumeWriting();
+    }
+
+    /** The rest of the body can't be read. If no writer has been set yet, what is buffered is discarded. */
+    void fail() {
+        failed = !complete;
+        if (target == null && failed) {
+            discard();
+        }
+        resumeWriting();
+    }
+
+    boolean isFull() {
+        return bufferedBytes >= MAX_BUFFERED_BYTES;
+    }
+
+    boolean isComplete() {
+        return complete;
+    }
+
+    /** Whether nothing more will be added. */
+    boolean isFinished() {
+        return complete || failed;
+    }
+
+    // ---- the writing side
+
+    /** Writes what is buffered and what is added later; {@code listener} is told once whether all has been written. */
+    void writeTo(Channel channel, Consumer<Boolean> listener) {
+        target = channel;
+        onWritten = listener;
+        resumeWriting();
+    }
+
+    /** Whether the target channel has not taken all that was added. */
+    boolean hasUnwrittenData() {
+        return bufferedBytes > 0 || target != null && !target.isWritable();
+    }
+
+    /** Writes as much as the target channel takes. A write that fills the channel calls this again while a chunk is
+        half written: the nested call must write nothing. */
+    void resumeWriting() {
+        if (writing) {
+            return;
+        }
+        boolean wasFull = isFull();
+        writing = true;
+        for (Channel channel = target; channel != null && channel.isWritable() && !buffers.isEmpty();
+                channel = target) {
+            while (channel.isWritable() && !buffers.isEmpty()) {
+                ByteBuf buffer = buffers.poll();
+                bufferedBytes -= buffer.readableBytes();
+                channel.write(new DefaultHttpContent(buffer));
+            }
+            channel.flush();  // may make the channel writable again, or close it and abandon this relay
+        }
+        writing = false;
+        if (wasFull && !isFull()) {
+            onFullChange.run();
+        }
+        if (target != null && buffers.isEmpty() && isFinished()) {
+            Channel last = target;
+            target = null;
+            if (failed) {
+                onWritten.accept(false);
+            } else {
+                last.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT)
+                        .addListener(written -> onWritten.accept(written.isSuccess()));
+            }
+        }
+    }
+
+    /** Discards what is buffered and what is added later; the writer's listener is not called any more. */
+    void abandon() {
+        abandoned = true;
+        target = null;
+        discard();
+        onFullChange.run();
+    }
+
+    private void discard() {
+        buffers.forEach(ByteBuf::release);
+        buffers.clear();
+        bufferedBytes = 0;
+    }
+}
--- a/src/main/java/mastdrift/net/Config.java
+++ b/src/main/java/mastdrift/net/Config.java
@@ -17,51 +17,54 @@
 import java.util.stream.Collectors;
 import mastdrift.Balancer.RequestClass;
 import mastdrift.Balancer.Settings;
-import mastdrift.wire.Facts;
+import mastdrift.wire.SettingsParser;
 
-/** What a gateway is told at its start; throws IllegalArgumentException with one plain line where it can't be read.
-    Where operators call is null where they don't, and {@code passedSocket} tells that the platform holds the clients'
-    listening socket and has passed it on as descriptor 0. */
-record Config(InetSocketAddress listen, boolean passedSocket, InetSocketAddress admin, InetSocketAddress discovery,
-        int sockets, HostList known, Settings settings) {
+/** The configuration of a gateway. Reading it throws IllegalArgumentException with a one-line message where it is
+    invalid. {@code adminAddress} is null where operators have no access. {@code socketInherited} is set where the
+    platform holds the clients' listening socket and has passed it to this process as descriptor 0. {@code maxSockets}
+    is the limit of descriptors, {@code initialHosts} the host list to start with. */
+record Config(InetSocketAddress listenAddress, boolean socketInherited, InetSocketAddress adminAddress,
+        InetSocketAddress discoveryAddress, int maxSockets, HostList initialHosts, Settings settings) {
 
-    /** Reads the file that {@code NODE_CONFIG} names; the other variables go before what it says. */
+    /** Reads the file that the variable {@code NODE_CONFIG} names; other variables override its values. */
     static Config read(Map<String, String> environment) {
-        Map<String, Object> root = file(environment);
-        Map<String, String> facts = new HashMap<>();
-        flatten("", root.get("settings"), facts);
+        Map<String, Object> root = readFile(environment);
+        Map<String, String> values = new HashMap<>();
+        flatten("", root.get("settings"), values);
         Settings settings;
         try {
-            settings = new Facts(facts).settings(seed(text(root, "seed")));
+            settings = new SettingsParser(values).toSettings(parseSeed(stringValue(root, "seed")));
         } catch (IllegalArgumentException e) {
             throw new IllegalArgumentException("settings: expected " + e.getMessage(), e);
         }
-        String admin = environment.getOrDefault("NODE_ADMIN", text(root, "admin"));
-        return new Config(address(environment.getOrDefault("NODE_LISTEN", text(root, "listen"))),
-                !environment.getOrDefault("NODE_PASSED_SOCKET", "").isEmpty(), admin.isEmpty() ? null : address(admin),
-                address(environment.getOrDefault("NODE_DISCOVERY", text(root, "discovery"))),
+        String admin = environment.getOrDefault("NODE_ADMIN", stringValue(root, "admin"));
+        return new Config(parseAddress(environment.getOrDefault("NODE_LISTEN", stringValue(root, "listen"))),
+                !environment.getOrDefault("NODE_PASSED_SOCKET", "").isEmpty(),
+                admin.isEmpty() ? null : parseAddress(admin),
+                parseAddress(environment.getOrDefault("NODE_DISCOVERY", stringValue(root, "discovery"))),
                 root.get("limits") instanceof Map<?, ?> limits && limits.get("sockets") instanceof Integer sockets
                         ? sockets : Integer.MAX_VALUE,
                 HostList.parse(root.get("known")), settings);
     }
 
-    /** Counts for a gateway so configured: begun before the gateway, since operators may ask for them before. */
-    Tally tally() {
-        Tally tally = new Tally(settings.classes().stream().map(RequestClass::name).toList());
-        tally.set(Tally.Gauge.HOSTS_KNOWN, known.entries().size());
-        return tally;
+    /** Creates the metrics of a gateway with this configuration. They exist before the gateway, since operators may ask
+        earlier. */
+    GatewayMetrics newMetrics() {
+        GatewayMetrics metrics = new GatewayMetrics(settings.classes().stream().map(RequestClass::name).toList());
+        metrics.setGauge(GatewayMetrics.Gauge.HOSTS_KNOWN, initialHosts.entries().size());
+        return metrics;
     }
 
-    /** Where the file says by now that discovery is. */
-    static InetSocketAddress discovery(Map<String, String> environment) {
-        return address(text(file(environment), "discovery"));
+    /** Reads the address of discovery from the file as it is now. */
+    static InetSocketAddress discoveryAddress(Map<String, String> environment) {
+        return parseAddress(stringValue(readFile(environment), "discovery"));
     }
 
-    static String text(Map<?, ?> object, String name) {
+    static String stringValue(Map<?, ?> object, String name) {
         return Objects.toString(object.get(name), "");
     }
 
-    private static Map<String, Object> file(Map<String, String> environment) {
+    private static Map<String, Object> readFile(Map<String, String> environment) {
         String file = environment.get("NODE_CONFIG");
         if (file == null) {
             throw new IllegalArgumentException("NODE_CONFIG is not set");
@@ -75,7 +78,7 @@
         }
     }
 
-    private static long seed(String hex) {
+    private static long parseSeed(String hex) {
         try {
             return Long.parseUnsignedLong(hex, 16);
         } catch (NumberFormatException e) {
@@ -83,23 +86,25 @@
         }
     }
 
-    /** Paths as on the simulator's wire, which {@link Facts} reads. */
-    private static void flatten(String path, Object node, Map<String, String> facts) {
+    /** Collects the values of a JSON tree under their paths, in the form of the simulator's protocol that {@link SettingsParser}
+        reads. */
+    private static void flatten(String path, Object node, Map<String, String> values) {
         if (node instanceof Map<?, ?> object) {
-            object.forEach((name, value) -> flatten(path.isEmpty() ? name.toString() : path + "." + name, value, facts));
+            object.forEach((name, value) -> flatten(path.isEmpty() ? name.toString() : path + "." + name, value,
+                    values));
         } else if (node instanceof List<?> list) {
             for (int i = 0; i < list.size(); i++) {
-                flatten(path + "." + i, list.get(i), facts);
+                flatten(path + "." + i, list.get(i), values);
             }
-            facts.put(path, list.stream().map(Objects::toString).collect(Collectors.joining(",")));
-            facts.put(path + ".count", Integer.toString(list.size()));
+            values.put(path, list.stream().map(Objects::toString).collect(Collectors.joining(",")));
+            values.put(path + ".count", Integer.toString(list.size()));
         } else if (node != null) {
-            facts.put(path, node.toString());
+            values.put(path, node.toString());
         }
     }
 
-    /** Of an address and port in digits: there are no names to look up. */
-    static InetSocketAddress address(String text) {
+    /** Parses an IP address and port; host names are rejected, since no name service is used. */
+    static InetSocketAddress parseAddress(String text) {
         int colon = text.lastIndexOf(':');
         byte[] ip = NetUtil.createByteArrayFromIpAddressString(text.substring(0, Math.max(0, colon)));
         try {
--- a/src/main/java/mastdrift/net/ConnectionLimit.java
+++ b/src/main/java/mastdrift/net/ConnectionLimit.java
@@ -9,175 +9,185 @@
 import java.util.function.Consumer;
 import java.util.stream.Stream;
 
-/** The connections that clients hold, how many there may be, and who makes room at that bound: first who has been ended
-    already, then who never asked, then who rests longest, then the newcomer itself, last who is in the midst of sending. Used
-    on one loop's thread.
+/** Limits the number of client connections and chooses which one is closed when the limit is exceeded: first those in a
+    lingering close, then those that never sent a request, then the longest idle, then the newest connection itself, and
+    last those that are sending a request. Connections whose request is being handled are not closed. Used on one event
+    loop's thread.
 
     @param <C> a client's connection */
-final class ConnectionLimit<C extends ConnectionLimit.Held> {
+final class ConnectionLimit<C extends ConnectionLimit.Evictable> {
 
-    /** One connection, as far as its place goes. */
-    interface Held {
+    /** A connection that may have to be closed. */
+    interface Evictable {
 
-        /** Whether a part of a request is there, or bytes that have not been looked at. */
-        boolean sending();
+        /** Whether a part of a request, or unprocessed input, has arrived. */
+        boolean isSendingRequest();
 
-        /** Whether bytes have been read that have not been looked at. */
-        boolean unread();
+        /** Whether input has been read and not been processed. */
+        boolean hasUnprocessedInput();
 
-        /** Ends it in order: it lingers until its client closes, or for a while. */
-        void end();
+        /** Starts a lingering close, which ends when the client closes its side, or after a while. */
+        void closeGracefully();
 
-        /** Ends it at once. */
+        /** Closes the connection at once. */
         void close();
     }
 
-    private static final long LOOKED_MILLIS = 1;
+    // By this time after a connection was accepted, the loop has read its first input.
+    private static final long FIRST_READ_MILLIS = 1;
 
     private final EventLoop loop;
-    private final int most;
-    private final Consumer<Boolean> accept;
-    private final Runnable pushedOut;
+    private final int maxConnections;
+    private final Consumer<Boolean> acceptSwitch;
+    private final Runnable onEvicted;
     private final Set<C> all = new HashSet<>();
-    private final LinkedHashSet<C> silent = new LinkedHashSet<>();  // never asked yet, the eldest first
-    private final LinkedHashSet<C> idle = new LinkedHashSet<>();  // the longest idle first
-    private final LinkedHashSet<C> lingering = new LinkedHashSet<>();  // shut for writing, the eldest first
-    private final Set<C> unlooked = new HashSet<>();
-    private C newest;  // of those that are here
-    private boolean making;
+    // Those without a first request, oldest first.
+    private final LinkedHashSet<C> withoutRequest = new LinkedHashSet<>();
+    private final LinkedHashSet<C> idle = new LinkedHashSet<>();  // longest idle first
+    private final LinkedHashSet<C> lingering = new LinkedHashSet<>();  // in a lingering close, oldest first
+    private final Set<C> notYetRead = new HashSet<>();  // their first input may wait in the socket
+    private C newest;  // null if that one has been closed
+    private boolean enforcing;
     private boolean accepting = true;
 
-    /** Holds about {@code most} connections; {@code accept} hears whether more are wanted, and {@code pushedOut} of each
-        that makes room. */
-    ConnectionLimit(EventLoop loop, int most, Consumer<Boolean> accept, Runnable pushedOut) {
+    /** Allows about {@code maxConnections} connections. {@code acceptSwitch} is told when to accept more and when not
+        to; {@code onEvicted} runs for each connection that is closed for the limit. */
+    ConnectionLimit(EventLoop loop, int maxConnections, Consumer<Boolean> acceptSwitch, Runnable onEvicted) {
         this.loop = loop;
-        this.most = most;
-        this.accept = accept;
-        this.pushedOut = pushedOut;
+        this.maxConnections = maxConnections;
+        this.acceptSwitch = acceptSwitch;
+        this.onEvicted = onEvicted;
     }
 
     int size() {
         return all.size();
     }
 
-    /** How many more may come. */
-    int room() {
-        return Math.max(0, most - all.size());
+    /** How many more connections may be accepted. */
+    int remainingCapacity() {
+        return Math.max(0, maxConnections - all.size());
     }
 
     List<C> all() {
         return List.copyOf(all);
     }
 
-    /** Those that wait for their client, the eldest silent one first. */
-    List<C> resting() {
-        return Stream.concat(silent.stream(), idle.stream()).toList();
+    /** Connections that have no request being handled, beginning with those that never sent one, oldest first. */
+    List<C> awaitingRequest() {
+        return Stream.concat(withoutRequest.stream(), idle.stream()).toList();
     }
 
-    boolean silent(C connection) {
-        return silent.contains(connection);
+    /** Whether no whole request has been read on the connection yet. */
+    boolean hasSentNoRequest(C connection) {
+        return withoutRequest.contains(connection);
     }
 
-    void came(C connection) {
+    /** Adds a connection that has been accepted. */
+    void add(C connection) {
         all.add(connection);
-        silent.add(connection);
-        unlooked.add(connection);
+        withoutRequest.add(connection);
+        notYetRead.add(connection);
         newest = connection;
-        // The loop looks at all sockets before it comes to what one of its tasks has put off.
-        loop.execute(() -> loop.schedule(() -> looked(connection), LOOKED_MILLIS, TimeUnit.MILLISECONDS));
-        if (all.size() > most && !lingering.isEmpty()) {
-            C eldest = lingering.iterator().next();
-            lingering.remove(eldest);  // it is gone only later, and the next newcomer is to close another
-            eldest.close();
+        // A timer that one of the loop's tasks sets runs only after the loop has processed all sockets.
+        loop.execute(() -> loop.schedule(() -> firstReadDone(connection), FIRST_READ_MILLIS, TimeUnit.MILLISECONDS));
+        if (all.size() > maxConnections && !lingering.isEmpty()) {
+            C oldest = lingering.iterator().next();
+            // Its close is reported only later, and the next new connection has to close another.
+            lingering.remove(oldest);
+            oldest.close();
         }
-        keep();
+        enforce();
     }
 
-    private void looked(C connection) {
-        unlooked.remove(connection);
-        keep();
+    private void firstReadDone(C connection) {
+        notYetRead.remove(connection);
+        enforce();
     }
 
-    /** A request of it has been read. */
-    void asked(C connection) {
-        silent.remove(connection);
+    /** A request has been read on the connection. */
+    void requestReceived(C connection) {
+        withoutRequest.remove(connection);
         idle.remove(connection);
     }
 
-    /** It has been asked on and waits for the next request. */
-    void rests(C connection) {
+    /** The connection's requests have been answered and it waits for the next. */
+    void becameIdle(C connection) {
         idle.add(connection);
-        keep();
+        enforce();
     }
 
-    void lingers(C connection) {
-        asked(connection);
+    /** The connection is in a lingering close. */
+    void startedLingering(C connection) {
+        requestReceived(connection);
         lingering.add(connection);
-        keep();
+        enforce();
     }
 
-    void gone(C connection) {
-        asked(connection);
+    /** Removes a connection that has been closed. */
+    void remove(C connection) {
+        requestReceived(connection);
         all.remove(connection);
         newest = newest == connection ? null : newest;
-        unlooked.remove(connection);
+        notYetRead.remove(connection);
         lingering.remove(connection);
-        keep();
+        enforce();
     }
 
-    /** Those that have just come have not been looked at, and a request may lie in their sockets: while only such could go,
-        nothing more is accepted. Who lingers leaves as soon as another comes. */
-    void keep() {
-        if (making) {
+    /** Closes connections in excess of the limit, and stops accepting while there are too many. A new connection is not
+        closed before its first read, since a request may wait in its socket: while only such could be closed, no more
+        are accepted. Lingering connections do not count, as a new connection replaces them. */
+    void enforce() {
+        if (enforcing) {
             return;
         }
-        making = true;  // each end comes back here
+        enforcing = true;  // closing a connection calls this method again
         try {
-            makeRoom();
+            evictExcess();
         } finally {
-            making = false;
+            enforcing = false;
         }
-        accepts(!over());
+        setAccepting(!isExceeded());
     }
 
-    private boolean over() {
-        return all.size() - lingering.size() > most;
+    private boolean isExceeded() {
+        return all.size() - lingering.size() > maxConnections;
     }
 
-    private void makeRoom() {
-        while (over()) {
-            C first = first();
-            if (first == null || unlooked.contains(first) || first.unread()) {
+    private void evictExcess() {
+        while (isExceeded()) {
+            C candidate = nextToEvict();
+            if (candidate == null || notYetRead.contains(candidate) || candidate.hasUnprocessedInput()) {
                 return;
             }
-            pushedOut.run();
-            first.end();
-            asked(first);  // also where it has ended by itself, and is not gone yet: it is not to be met again
+            onEvicted.run();
+            candidate.closeGracefully();
+            // It may have closed by itself without being removed yet: not to be chosen again.
+            requestReceived(candidate);
         }
     }
 
-    /** Whose turn it is to go; null where nobody waits for a client. */
-    private C first() {
-        C eldest = null;  // of those that are sending
-        for (Set<C> waiting : List.of(silent, idle)) {
-            for (C connection : waiting) {
-                if (connection != newest && !connection.sending()) {
+    /** The connection to close next; null if all have requests that are being handled. */
+    private C nextToEvict() {
+        C oldestSending = null;  // first connection that is sending a request
+        for (Set<C> group : List.of(withoutRequest, idle)) {
+            for (C connection : group) {
+                if (connection != newest && !connection.isSendingRequest()) {
                     return connection;
                 }
-                eldest = eldest == null ? connection : eldest;
+                oldestSending = oldestSending == null ? connection : oldestSending;
             }
         }
-        return resting(newest) && !newest.sending() ? newest : eldest;
+        return awaitingRequest(newest) && !newest.isSendingRequest() ? newest : oldestSending;
     }
 
-    private boolean resting(C connection) {
-        return silent.contains(connection) || idle.contains(connection);
+    private boolean awaitingRequest(C connection) {
+        return withoutRequest.contains(connection) || idle.contains(connection);
     }
 
-    private void accepts(boolean wanted) {
+    private void setAccepting(boolean wanted) {
         if (accepting != wanted) {
             accepting = wanted;
-            accept.accept(wanted);
+            acceptSwitch.accept(wanted);
         }
     }
 }
--- a/src/main/java/mastdrift/net/EventLog.java
+++ b/src/main/java/mastdrift/net/EventLog.java
@@ -6,84 +6,85 @@
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 
-/** The log of what is out of the ordinary, a line an event: {@code event=name key=value ...}. Of each kind of event only so
-    many lines a second are written, so that trouble does not fill the log; how many were left out stands in the next line of
-    that kind. Used on the gateway's event loop alone. */
+/** The log of unusual events, one line each: {@code event=name key=value ...}. The lines of each kind of event are
+    limited per second, so that a fault doesn't flood the log; the next line of that kind has the number of those left
+    out. Not thread-safe: used on the gateway's event loop only. */
 final class EventLog {
 
-    /** The kinds of events. */
+    /** The kinds of events; their lower-cased names are the values of {@code event}. */
     enum Event {
-        /** The system did not hand over a connection; accepting goes on after a pause. */
+        /** A call to accept failed; accepting goes on after a pause. */
         ACCEPT_FAILED,
-        /** A connection to a host did not come up. */
+        /** A connection to a host could not be established. */
         DIAL_FAILED,
-        /** A connection to a host broke, or what came on it could not be read. */
+        /** A connection to a host failed, or the data from it was invalid. */
         UPSTREAM_FAILED,
-        /** An attempt ended with no answer that could be passed on. */
+        /** An attempt ended without a response for the client. */
         ATTEMPT_FAILED,
-        /** A request was answered with a refusal. */
+        /** A request was refused. */
         REQUEST_REFUSED,
-        /** A request was answered as failed. */
+        /** A request failed, and its client got an error response. */
         REQUEST_FAILED,
-        /** A client's connection ended while a request on it was not answered. */
+        /** A client connection ended while a request on it was unanswered. */
         CLIENT_GONE,
-        /** A write met a shortage of the system's and is made again. */
+        /** The system lacked the memory for a write, which is retried. */
         WRITE_DEFERRED,
-        /** Discovery could not be asked. */
+        /** A request to discovery failed. */
         DISCOVERY_FAILED,
-        /** The event loop was late by more than a hold-up that the platform allows. */
+        /** The event loop was late by more than the platform's suspensions explain. */
         LOOP_LATE,
-        /** A callback came on a thread other than the event loop's, which is a fault of the program. */
+        /** A callback ran on another thread than the event loop's, which is a bug of the program. */
         OFF_LOOP,
-        /** The real-time clock was stepped, or is off from that of the machines whose starts are told. */
+        /** The real-time clock was stepped, or differs from that of the machines whose start times are listed. */
         CLOCK_STEPPED
     }
 
-    private static final long SPAN_MICROS = 1_000_000;
-    private static final int LINES_A_SPAN = 5;
+    private static final long INTERVAL_MICROS = 1_000_000;
+    private static final int MAX_LINES_PER_INTERVAL = 5;
 
-    private static final class Written {
-        private long since;
+    /** The lines of one kind of event in the current interval. */
+    private static final class IntervalLines {
+        private long intervalStart;
         private int lines;
         private long leftOut;
     }
 
     private final LongSupplier clock;
-    private final Consumer<String> out;
-    private final Map<Event, Written> written = new EnumMap<>(Event.class);
+    private final Consumer<String> output;
+    private final Map<Event, IntervalLines> intervalLines = new EnumMap<>(Event.class);
 
-    /** The clock runs in microseconds from any origin. */
-    EventLog(LongSupplier clock, Consumer<String> out) {
+    /** Creates a log on a clock in microseconds from any origin. */
+    EventLog(LongSupplier clock, Consumer<String> output) {
         this.clock = clock;
-        this.out = out;
+        this.output = output;
     }
 
-    /** Keys and their values in turn; a value that is null is left out with its key. */
-    void add(Event event, Object... facts) {
-        Written mine = written.computeIfAbsent(event, each -> new Written());
+    /** Logs an event with alternating keys and values; a pair whose value is null is left out. */
+    void add(Event event, Object... keysAndValues) {
+        IntervalLines current = intervalLines.computeIfAbsent(event, each -> new IntervalLines());
         long now = clock.getAsLong();
-        if (mine.lines == 0 || now - mine.since >= SPAN_MICROS) {
-            mine.since = now;
-            mine.lines = 0;
+        if (current.lines == 0 || now - current.intervalStart >= INTERVAL_MICROS) {
+            current.intervalStart = now;
+            current.lines = 0;
         }
-        if (++mine.lines > LINES_A_SPAN) {
-            mine.leftOut++;
+        if (++current.lines > MAX_LINES_PER_INTERVAL) {
+            current.leftOut++;
             return;
         }
-        out.accept(line(event, mine.leftOut, facts));
-        mine.leftOut = 0;
+        output.accept(line(event, current.leftOut, keysAndValues));
+        current.leftOut = 0;
     }
 
-    /** A fault of the program itself, in words. */
+    /** Logs a bug of the program as a line of text, without a limit. */
     void fault(String text) {
-        out.accept(text);
+        output.accept(text);
     }
 
-    private static String line(Event event, long leftOut, Object... facts) {
+    private static String line(Event event, long leftOut, Object... keysAndValues) {
         StringBuilder line = new StringBuilder("event=").append(event.name().toLowerCase(Locale.ROOT));
-        for (int i = 0; i + 1 < facts.length; i += 2) {
-            if (facts[i + 1] != null) {
-                line.append(' ').append(facts[i]).append('=').append(value(facts[i + 1]));
+        for (int i = 0; i + 1 < keysAndValues.length; i += 2) {
+            if (keysAndValues[i + 1] != null) {
+                line.append(' ').append(keysAndValues[i]).append('=').append(formatValue(keysAndValues[i + 1]));
             }
         }
         if (leftOut > 0) {
@@ -92,9 +93,9 @@
         return line.toString();
     }
 
-    private static String value(Object value) {
-        if (value instanceof Enum<?> name) {
-            return name.name().toLowerCase(Locale.ROOT);
+    private static String formatValue(Object value) {
+        if (value instanceof Enum<?> constant) {
+            return constant.name().toLowerCase(Locale.ROOT);
         }
         String text = value.toString();
         return text.indexOf(' ') < 0 ? text : '"' + text.replace('"', '\'') + '"';
--- a/src/main/java/mastdrift/net/Gateway.java
+++ b/src/main/java/mastdrift/net/Gateway.java
@@ -27,519 +27,538 @@
 import java.util.function.LongConsumer;
 import java.util.function.LongSupplier;
 import mastdrift.Balancer;
-import mastdrift.Balancer.ListForm;
+import mastdrift.Balancer.ListUpdateType;
 import mastdrift.Balancer.LoadReport;
 import mastdrift.Balancer.Outcome;
-import mastdrift.Balancer.Reports;
+import mastdrift.Balancer.LoadReportMode;
 import mastdrift.Balancer.Settings;
 
-/** Drives the module: its clock, its timers, the ledger of requests and attempts, and one final answer a request.
-    Everything happens on the event loop's thread. */
+/** Connects a {@link Balancer} to the network: supplies its clock and timers, tracks open requests and their attempts,
+    and sees to it that each request gets exactly one final response. Used on the event loop's thread alone. */
 final class Gateway implements Balancer.Actions {
 
-    // The time left counts from the client's send and the answer has to travel: so much of it is kept back.
-    private static final long ANSWER_MARGIN_MICROS = 5_000;
-    // A request still open so long after the module's time for it is failed, whatever the module thinks.
-    private static final long BACKSTOP_MICROS = 2_000;
-    // A probe is answered beside the queue: no answer by then is none.
+    // A client's deadline counts from its send, and the response still has to reach it: this much of the time is
+    // reserved.
+    private static final long RESPONSE_MARGIN_MICROS = 5_000;
+    // A request that the balancer has left open for this long after its deadline is failed by the gateway.
+    private static final long DEADLINE_GRACE_MICROS = 2_000;
+    // Hosts answer probes ahead of their request queue, so a probe without a response by then has failed.
     private static final long PROBE_TIMEOUT_MICROS = 250_000;
-    private static final long TALLY_SPAN_MICROS = 5_000_000;
-    private static final long FIGURES_SPAN_MICROS = 200_000;  // figures may lag by half a second
-    private static final String[] PASSED_ON = {"X-Trace-Id", "Idempotency-Key"};
+    private static final long COUNTS_LOG_INTERVAL_MICROS = 5_000_000;
+    private static final long GAUGE_UPDATE_INTERVAL_MICROS = 200_000;  // metrics may lag by half a second
+    private static final String[] FORWARDED_HEADERS = {"X-Trace-Id", "Idempotency-Key"};
 
-    // What a client sends behind its request, its end among it, is looked at before an attempt where the last look is older:
-    // the loop may have been held up since, or have met a host's event ahead of the client's.
-    static final long LOOK_AFTER_MICROS = 50_000;
+    // Before an attempt, a client's connection is read again if the last check is older than this: the client may have
+    // disconnected while the event loop was delayed, or the loop may handle a host's event ahead of the client's.
+    static final long CLIENT_CHECK_INTERVAL_MICROS = 50_000;
 
-    /** Where the one final answer goes. */
+    /** The client of a request, which receives exactly one final response. */
     interface Client {
-        /** Looks at what has come on the connection by now; false where the client has gone. */
-        boolean present();
+        /** Reads what has arrived on the connection; false if the client has disconnected. */
+        boolean isConnected();
 
-        /** With a host's answer, which the caller releases. */
-        void served(FullHttpResponse answer);
+        /** Sends a host's complete response, which the caller releases. */
+        void sendResponse(FullHttpResponse response);
 
-        /** With a host's answer that has begun, which the caller releases, and a rest to be written; {@code passed} hears
-            whether all has been, unless the client departs before. */
-        void begun(FullHttpResponse answer, Relay rest, Consumer<Boolean> passed);
+        /** Sends the start of a host's response, which the caller releases, and then the rest of its body from the
+            relay. {@code onWritten} is told whether all of it was written, unless the client disconnects before. */
+        void startStreaming(FullHttpResponse response, BodyRelay bodyRelay, Consumer<Boolean> onWritten);
 
-        void refused(long retryAfter);
+        /** Sends a refusal that asks the client to retry after so many microseconds. */
+        void sendRefusal(long retryAfter);
 
-        void failed(boolean late);
+        /** Sends a failure: a timeout if {@code late}, and otherwise a bad gateway. */
+        void sendFailure(boolean late);
     }
 
-    /** A request that was taken, until it has ended and all its attempts have. */
+    /** An accepted request, kept until both the request and all its attempts have ended. */
     final class Exchange {
-        private final long id = nextId++;
+        private final long id = nextRequestId++;
         private final Client client;
         private final String className;
-        private final FullHttpRequest message;
-        private final String trace;
-        private final Relay rest;  // of its body, null where the message is whole
-        private final long kept;
-        private long lookedAt = now();  // for the client's departure
-        private final List<HostPool.Attempt> attempts = new ArrayList<>(2);
-        private Future<?> backstop;
-        private long due;  // on the gateway's clock
-        private boolean coming;  // the rest
-        private boolean relaying;  // the message has gone out and is not kept
-        private boolean begun;  // the answer
-        private int out;
-        private boolean late;
+        private final FullHttpRequest request;
+        private final String traceId;
+        private final BodyRelay bodyRelay;  // the rest of the body, null if the request is complete
+        private final long timeBudget;  // from the last byte of the request, in microseconds
+        private long clientCheckedAt = now();  // when the connection was last checked for a disconnect
+        private final List<HostConnectionPool.Attempt> attempts = new ArrayList<>(2);
+        private Future<?> deadlineTimer;
+        private long deadline;  // on the gateway's clock
+        private boolean bodyIncomplete;  // a part of the body has not arrived
+        private boolean requestStreaming;  // the body is being sent to a host and is not kept for a retry
+        private boolean responseStreaming;  // the response has started to go out to the client
+        private int unresolvedAttempts;  // attempts whose outcome has not been reported to the balancer
+        private boolean lastAttemptExpired;
         private boolean ended;
 
-        private Exchange(Client client, String className, FullHttpRequest message, Relay rest, long kept) {
+        private Exchange(Client client, String className, FullHttpRequest request, BodyRelay bodyRelay,
+                long timeBudget) {
             this.client = client;
             this.className = className;
-            this.message = message;
-            trace = message.headers().get("X-Trace-Id");
-            this.rest = rest;
-            this.kept = kept;
-            coming = rest != null;
+            this.request = request;
+            traceId = request.headers().get("X-Trace-Id");
+            this.bodyRelay = bodyRelay;
+            this.timeBudget = timeBudget;
+            bodyIncomplete = bodyRelay != null;
         }
 
-        private void startBackstop() {
-            due = now() + kept;
-            scheduleBackstop();
+        private void startDeadline() {
+            deadline = now() + timeBudget;
+            scheduleDeadlineTimer();
         }
 
-        private void scheduleBackstop() {
-            long left = Math.min(due, answerBy - ANSWER_MARGIN_MICROS) - now();
-            backstop = loop.schedule(() -> overdue(this), left + BACKSTOP_MICROS, TimeUnit.MICROSECONDS);
+        private void scheduleDeadlineTimer() {
+            long remaining = Math.min(deadline, answerDeadline - RESPONSE_MARGIN_MICROS) - now();
+            deadlineTimer = loop.schedule(() -> deadlineExceeded(this), remaining + DEADLINE_GRACE_MICROS,
+                    TimeUnit.MICROSECONDS);
         }
 
-        /** The gateway's own end has come closer. Not where the backstop is off: in the midst of a body the time is that of
-            who sends it. */
-        private void boundBackstop() {
-            if (!backstop.isDone()) {
-                backstop.cancel(false);
-                scheduleBackstop();
+        /** Applies an earlier deadline of the gateway. The timer stays off while a body is in transit: that is bounded
+            by the time limits on the connection that sends it. */
+        private void rescheduleDeadlineTimer() {
+            if (!deadlineTimer.isDone()) {
+                deadlineTimer.cancel(false);
+                scheduleDeadlineTimer();
             }
         }
 
-        /** Whether its body is on its way to a host, so that nothing more can be sent for it. */
-        boolean relays() {
-            return relaying;
+        /** Whether the body is being sent to a host, so that no other attempt can be made. */
+        boolean isRequestStreaming() {
+            return requestStreaming;
         }
 
-        /** All of it is there and its time counts, or its end makes that of no matter. */
-        private void whole() {
-            if (coming) {
-                coming = false;
-                incoming--;
-                countInFlight();
+        /** The body has arrived, or the request has ended before: it counts as in flight, or no longer at all. */
+        private void bodyComplete() {
+            if (bodyIncomplete) {
+                bodyIncomplete = false;
+                incompleteRequests--;
+                updateInFlight();
             }
         }
 
-        /** The client went away: nothing more is owed. */
-        void departed() {
+        /** The client has disconnected and needs no response. */
+        void clientLeft() {
             if (!ended) {
-                tally.add(Tally.Count.DEPARTED);
+                tally.increment(GatewayMetrics.Counter.DEPARTED);
                 finish(this);
-                if (rest != null || begun) {  // what comes or goes in pieces has lost its other end
-                    attempts.forEach(HostPool.Attempt::cancel);
+                if (bodyRelay != null || responseStreaming) {  // a streamed body has lost its source or its destination
+                    attempts.forEach(HostConnectionPool.Attempt::cancel);
                 }
-                event(null, now -> module.departed(now, id));
+                dispatch(null, now -> balancer.clientLeft(now, id));
             }
         }
     }
 
     private final EventLoop loop;
-    private final Balancer module;
-    private final Consumer<String> out;
-    private final HostPool hosts;
-    private final Discovery discovery;
+    private final Balancer balancer;
+    private final Consumer<String> logOutput;
+    private final HostConnectionPool hostPool;
+    private final DiscoveryClient discovery;
     private final Settings settings;
-    private final Tally tally;
+    private final GatewayMetrics tally;
     private final EventLog log;
-    private final LoopMonitor monitor;
-    private final int openMost;
-    private final Map<Long, Exchange> ledger = new HashMap<>();
-    private final Queue<Runnable> events = new ArrayDeque<>();
-    private final CompletableFuture<Void> heard = new CompletableFuture<>();
-    private boolean inEvent;
-    private long nextId = 1;
-    private long answerBy = Long.MAX_VALUE;
-    private int open;
-    private int incoming;  // of those that are open: requests of which a rest is to come, not taken before
+    private final LoopMonitor loopMonitor;
+    private final int maxOpenRequests;
+    private final Map<Long, Exchange> exchanges = new HashMap<>();
+    private final Queue<Runnable> pendingEvents = new ArrayDeque<>();
+    private final CompletableFuture<Void> firstListReceived = new CompletableFuture<>();
+    private boolean dispatching;
+    private long nextRequestId = 1;
+    private long answerDeadline = Long.MAX_VALUE;  // for all requests, set when the process is about to end
+    private int openRequests;
+    private int incompleteRequests;  // of the open requests, those whose body has not arrived yet
     private final LongSupplier nanoTime;
-    private final long startedAt;
-    private final HostStarts starts;
+    private final long clockOffset;
+    private final HostStartTimes hostStarts;
 
-    /** Starts the module; on the loop's thread. The clock runs in nanoseconds from any origin.
-        {@code out} takes lines of the log, and must not block. */
-    Gateway(Config config, EventLoop loop, LongSupplier nanoTime, Balancer module, Tally tally, int hostConnections,
-            int openMost, Consumer<String> out) {
+    /** Starts the balancer; must be called on the loop's thread. {@code nanoTime} counts from an arbitrary origin.
+        {@code logOutput} receives log lines and must not block. */
+    Gateway(Config config, EventLoop loop, LongSupplier nanoTime, Balancer balancer, GatewayMetrics tally,
+            int maxHostConnections, int maxOpenRequests, Consumer<String> logOutput) {
         this.loop = loop;
         this.nanoTime = nanoTime;
-        startedAt = System.currentTimeMillis() * 1000 - nanoTime.getAsLong() / 1000;
+        clockOffset = System.currentTimeMillis() * 1000 - nanoTime.getAsLong() / 1000;
         this.tally = tally;
-        this.module = module;
-        this.out = out;
+        this.balancer = balancer;
+        this.logOutput = logOutput;
         log = new EventLog(this::now, this::log);
         ThreadTimes times = new ThreadTimes();
         loop.parent().terminationFuture().addListener(ended -> times.close());
-        monitor = new LoopMonitor(this::now, times::read, tally, log);
-        starts = new HostStarts(this::now, () -> System.currentTimeMillis() * 1000,
-                () -> log.add(EventLog.Event.CLOCK_STEPPED, "unix_ms", System.currentTimeMillis(), "steady_ms", now() / 1000));
+        loopMonitor = new LoopMonitor(this::now, times::read, tally, log);
+        hostStarts = new HostStartTimes(this::now, () -> System.currentTimeMillis() * 1000,
+                () -> log.add(EventLog.Event.CLOCK_STEPPED, "unix_ms", System.currentTimeMillis(), "steady_ms",
+                now() / 1000));
         settings = config.settings();
-        this.openMost = Math.min(openMost, settings.limits().maxOpen());
-        hosts = new HostPool(loop, this::now, monitor, settings.links().dialTimeout(), settings.links().idle(),
-                settings.rules().drainGrace(), hostConnections, tally, log);
-        discovery = new Discovery(loop, config.discovery(), config.known().rev(),
-                list -> learn(list, list.all() ? ListForm.FULL : ListForm.DELTA), this::listFailed);
-        Periodic.every(loop, TALLY_SPAN_MICROS, this::logTally, this::log);
-        module.start(now(), settings, this);
-        learn(config.known(), ListForm.CACHED);
-        if (settings.registryOnRequest()) {
-            heard.complete(null);
+        this.maxOpenRequests = Math.min(maxOpenRequests, settings.limits().maxOpenRequests());
+        hostPool = new HostConnectionPool(loop, this::now, loopMonitor, settings.connections().dialTimeout(),
+                settings.connections().idleTimeout(),
+                settings.guarantees().drainGrace(), maxHostConnections, tally, log);
+        discovery = new DiscoveryClient(loop, config.discoveryAddress(), config.initialHosts().revision(),
+                list -> hostListReceived(list, list.full() ? ListUpdateType.FULL : ListUpdateType.DELTA),
+                this::hostListFailed);
+        PeriodicTask.schedule(loop, COUNTS_LOG_INTERVAL_MICROS, this::logCounts, this::log);
+        balancer.start(now(), settings, this);
+        hostListReceived(config.initialHosts(), ListUpdateType.CACHED);
+        if (settings.listOnRequest()) {
+            firstListReceived.complete(null);
         } else {
             discovery.watch(true);
         }
     }
 
-    /** Done once discovery has told its first list, or that it won't now. Where lists are pushed what it has counts as told
-        from the start of the process on, so that nobody should be served by the list of before. */
-    CompletableFuture<Void> heard() {
-        return heard;
+    /** Completes with the first list from discovery, or with its first failure. Where lists are pushed, the rules count
+        a list as known from the start of the process on, so that no client should be served by the configured, older
+        list. */
+    CompletableFuture<Void> firstListReceived() {
+        return firstListReceived;
     }
 
-    /** Microseconds; runs on evenly from the Unix time at the start, in which hosts' starts are told. */
+    /** Microseconds since the Unix epoch as of the start, and steady from then on: clock changes do not affect it.
+        Hosts' start times are given in Unix time. */
     long now() {
-        return startedAt + nanoTime.getAsLong() / 1000;
+        return clockOffset + nanoTime.getAsLong() / 1000;
     }
 
-    /** What is out of the ordinary; the clients' side adds its part. */
-    EventLog events() {
+    /** The log of unusual events, to which the client connections add theirs. */
+    EventLog eventLog() {
         return log;
     }
 
-    /** Hears how long the loop's tasks take. */
-    LoopMonitor monitor() {
-        return monitor;
+    /** Measures how long the event loop's tasks take. */
+    LoopMonitor loopMonitor() {
+        return loopMonitor;
     }
 
-    /** What is counted for the log; the clients' side adds its part. */
-    Tally tally() {
+    /** The counters for log and metrics, to which the client connections add theirs. */
+    GatewayMetrics tally() {
         return tally;
     }
 
-    /** Keeps the figures fresh that are not counted but looked at. */
-    void keepFigures() {
-        Periodic.every(loop, FIGURES_SPAN_MICROS, () -> tally.set(Tally.Gauge.HOSTS_EXCLUDED, module.excluded(now())), this::log);
+    /** Starts to update those metrics that are polled from the balancer rather than counted. */
+    void startGaugeUpdates() {
+        PeriodicTask.schedule(loop, GAUGE_UPDATE_INTERVAL_MICROS,
+                () -> tally.setGauge(GatewayMetrics.Gauge.HOSTS_EXCLUDED, balancer.excludedHostCount(now())), this::log);
     }
 
-    /** Whether all that was taken, and every attempt at it, has ended and nothing is held for it any more. */
-    boolean owesNothing() {
-        return open == 0 && incoming == 0 && ledger.isEmpty() && hosts.busy() == 0;
+    /** Whether all requests and their attempts have ended and no resources are held for them. */
+    boolean isIdle() {
+        return openRequests == 0 && incompleteRequests == 0 && exchanges.isEmpty() && hostPool.busyConnectionCount() == 0;
     }
 
-    private void logTally() {
-        String line = tally.line();
+    private void logCounts() {
+        String line = tally.logLine();
         if (!line.isEmpty()) {
             log(line);
         }
     }
 
-    /** All requests, those that are open and those that come, are answered by then, on the gateway's clock: the process is
-        about to end. What is being passed on in pieces may last longer. */
-    void answerBy(long at) {
-        answerBy = at;
-        ledger.values().stream().filter(exchange -> !exchange.ended).forEach(Exchange::boundBackstop);
+    /** Sets the time, on the gateway's clock, by which all open and future requests are answered, since the process is
+        about to end. Bodies that are being streamed may take longer. */
+    void setAnswerDeadline(long deadline) {
+        answerDeadline = deadline;
+        exchanges.values().stream().filter(exchange -> !exchange.ended).forEach(Exchange::rescheduleDeadlineTimer);
     }
 
-    /** A successor takes over what comes from now on. */
+    /** Reduces idle connections to hosts: a successor process serves new requests from now on. */
     void retire() {
-        hosts.retire();
+        hostPool.retire();
     }
 
-    /** Discovery is to be asked at another address. */
-    void discoverAt(InetSocketAddress at) {
-        log("discovery at " + NetUtil.toSocketAddressString(at));
-        discovery.move(at);
+    /** Moves discovery to another address. */
+    void setDiscoveryAddress(InetSocketAddress address) {
+        log("discovery at " + NetUtil.toSocketAddressString(address));
+        discovery.setAddress(address);
     }
 
-    // ---- events: one after the other, never one inside another
+    // ---- events: dispatched one after the other, never nested
 
-    private void event(Exchange exchange, LongConsumer event) {
+    /** Passes an event to the balancer with the time, at once or after the current event. An exception in it fails the
+        exchange, if one is given. */
+    private void dispatch(Exchange exchange, LongConsumer event) {
         if (!loop.inEventLoop()) {
-            tally.add(Tally.Count.OFF_LOOP);
+            tally.increment(GatewayMetrics.Counter.OFF_LOOP);
             log.add(EventLog.Event.OFF_LOOP, "thread", Thread.currentThread().getName());
         }
-        events.add(() -> {
+        pendingEvents.add(() -> {
             try {
                 event.accept(now());
-            } catch (RuntimeException | Error fault) {  // memory may run out for one request and be there for the next
+            } catch (RuntimeException | Error fault) {  // an out-of-memory error may concern one request alone
                 log("fault in an event: " + fault + Arrays.stream(fault.getStackTrace()).limit(1).toList());
                 if (exchange != null && !exchange.ended) {
                     finish(exchange);
-                    tally.add(exchange.className, Tally.Ended.FAILED);
-                    exchange.client.failed(false);
-                    event(null, now -> module.departed(now, exchange.id));
+                    tally.increment(exchange.className, GatewayMetrics.RequestOutcome.FAILED);
+                    exchange.client.sendFailure(false);
+                    dispatch(null, now -> balancer.clientLeft(now, exchange.id));
                 }
             }
         });
-        if (inEvent) {
+        if (dispatching) {
             return;
         }
-        inEvent = true;
+        dispatching = true;
         try {
-            for (Runnable next = events.poll(); next != null; next = events.poll()) {
+            for (Runnable next = pendingEvents.poll(); next != null; next = pendingEvents.poll()) {
                 next.run();
             }
         } finally {
-            inEvent = false;  // or no event would ever be heard again
+            dispatching = false;  // otherwise no further event would be dispatched
         }
     }
 
-    private void learn(HostList told, ListForm form) {
-        long begunAt = monitor.begin();
-        HostList list = told.withStarts(starts::place);
-        if (form != ListForm.CACHED) {
-            starts.heard();
+    private void hostListReceived(HostList received, ListUpdateType type) {
+        long startedAt = loopMonitor.taskStarted();
+        HostList list = received.withStartTimes(hostStarts::toLocalClock);
+        if (type != ListUpdateType.CACHED) {
+            hostStarts.listReceived();
         }
-        hosts.update(list);
-        tally.set(Tally.Gauge.HOSTS_KNOWN, hosts.known());
-        log("list " + list.rev() + ": " + list.entries().size() + (list.all() ? " hosts" : " changes"));
-        event(null, now -> module.hosts(now, form, list.entries().stream().map(HostList.Entry::host).toList()));
-        monitor.ended(LoopMonitor.Task.HOST_LIST, begunAt);
-        if (form != ListForm.CACHED) {
-            heard.complete(null);
+        hostPool.update(list);
+        tally.setGauge(GatewayMetrics.Gauge.HOSTS_KNOWN, hostPool.knownHostCount());
+        log("list " + list.revision() + ": " + list.entries().size() + (list.full() ? " hosts" : " changes"));
+        dispatch(null, now -> balancer.hostListReceived(now, type,
+                list.entries().stream().map(HostList.Entry::host).toList()));
+        loopMonitor.taskEnded(LoopMonitor.Task.HOST_LIST, startedAt);
+        if (type != ListUpdateType.CACHED) {
+            firstListReceived.complete(null);
         }
     }
 
-    private void listFailed(String cause) {
+    private void hostListFailed(String cause) {
         log("discovery failed: " + cause);
-        event(null, now -> module.hosts(now, ListForm.FAILED, List.of()));
-        heard.complete(null);
+        dispatch(null, now -> balancer.hostListReceived(now, ListUpdateType.FAILED, List.of()));
+        firstListReceived.complete(null);
     }
 
-    private void countInFlight() {
-        tally.set(Tally.Gauge.IN_FLIGHT, open - incoming);
+    private void updateInFlight() {
+        tally.setGauge(GatewayMetrics.Gauge.IN_FLIGHT, openRequests - incompleteRequests);
     }
 
-    /** Takes a request, which keeps its message; the time left counts from its last byte, and the rest is null where that
-        has come. Null where it was answered at once. */
-    Exchange take(Client client, FullHttpRequest message, Relay rest, String className, String tenant, Long key,
-            long left, boolean repeated, long work) {
-        tally.add(Tally.Count.TAKEN);
-        if (open >= openMost) {
-            tally.add(Tally.Count.REFUSED_AT_BOUND);
-            tally.add(className, Tally.Ended.REFUSED);
-            client.refused(settings.limits().maxRetryAfter());
+    /** Accepts a request, retaining its message. {@code timeLeft} counts from the request's last byte;
+        {@code bodyRelay} is null if the request is complete. Returns null if the request was answered at once. */
+    Exchange submit(Client client, FullHttpRequest request, BodyRelay bodyRelay, String className, String tenant,
+            Long key, long timeLeft, boolean repeated, long work) {
+        tally.increment(GatewayMetrics.Counter.TAKEN);
+        if (openRequests >= maxOpenRequests) {
+            tally.increment(GatewayMetrics.Counter.REFUSED_AT_BOUND);
+            tally.increment(className, GatewayMetrics.RequestOutcome.REFUSED);
+            client.sendRefusal(settings.limits().maxRetryAfter());
             return null;
         }
-        long kept = Math.min(left, answerBy - now()) - ANSWER_MARGIN_MICROS;
-        if (kept <= 0) {
-            tally.add(Tally.Count.OVERDUE);
-            tally.add(className, Tally.Ended.FAILED);
-            client.failed(true);
+        long timeBudget = Math.min(timeLeft, answerDeadline - now()) - RESPONSE_MARGIN_MICROS;
+        if (timeBudget <= 0) {
+            tally.increment(GatewayMetrics.Counter.OVERDUE);
+            tally.increment(className, GatewayMetrics.RequestOutcome.FAILED);
+            client.sendFailure(true);
             return null;
         }
-        Exchange exchange = new Exchange(client, className, message.retain(), rest, kept);
-        open++;
-        incoming += rest == null ? 0 : 1;
-        countInFlight();
-        tally.level(Tally.Level.OPEN_REQUESTS, open);
-        ledger.put(exchange.id, exchange);
-        exchange.startBackstop();
-        boolean write = message.method().equals(HttpMethod.POST);
-        event(exchange, now -> module.request(now,
-                new Balancer.Request(exchange.id, className, tenant, key, kept, work, repeated, write)));
+        Exchange exchange = new Exchange(client, className, request.retain(), bodyRelay, timeBudget);
+        openRequests++;
+        incompleteRequests += bodyRelay == null ? 0 : 1;
+        updateInFlight();
+        tally.recordPeak(GatewayMetrics.Peak.OPEN_REQUESTS, openRequests);
+        exchanges.put(exchange.id, exchange);
+        exchange.startDeadline();
+        boolean write = request.method().equals(HttpMethod.POST);
+        dispatch(exchange, now -> balancer.requestReceived(now,
+                new Balancer.Request(exchange.id, className, tenant, key, timeBudget, work, repeated, write)));
         return exchange.ended ? null : exchange;
     }
 
-    /** The module owes an answer in time, and this keeps the promise where it doesn't. */
-    private void overdue(Exchange exchange) {
+    /** Fails a request that the balancer has not answered by its deadline. */
+    private void deadlineExceeded(Exchange exchange) {
         if (!exchange.ended) {
-            tally.add(Tally.Count.OVERDUE);
+            tally.increment(GatewayMetrics.Counter.OVERDUE);
             finish(exchange);
-            failed(exchange, "overdue");
-            exchange.client.failed(true);
-            event(null, now -> module.departed(now, exchange.id));
+            recordFailure(exchange, "overdue");
+            exchange.client.sendFailure(true);
+            dispatch(null, now -> balancer.clientLeft(now, exchange.id));
         }
     }
 
-    private void failed(Exchange exchange, String reason) {
-        tally.add(exchange.className, Tally.Ended.FAILED);
-        log.add(EventLog.Event.REQUEST_FAILED, "trace", exchange.trace, "class", exchange.className, "reason", reason,
-                "attempts", exchange.attempts.size(), "late_us", Math.max(0, now() - exchange.due));
+    private void recordFailure(Exchange exchange, String reason) {
+        tally.increment(exchange.className, GatewayMetrics.RequestOutcome.FAILED);
+        log.add(EventLog.Event.REQUEST_FAILED, "trace", exchange.traceId, "class", exchange.className, "reason", reason,
+                "attempts", exchange.attempts.size(), "late_us", Math.max(0, now() - exchange.deadline));
     }
 
+    /** Ends a request: cancels its timer and releases what is held for it. Its attempts may still be running. */
     private void finish(Exchange exchange) {
         exchange.ended = true;
-        exchange.backstop.cancel(false);
-        open--;
-        exchange.whole();
-        countInFlight();
-        if (!exchange.relaying) {
-            exchange.message.release();
+        exchange.deadlineTimer.cancel(false);
+        openRequests--;
+        exchange.bodyComplete();
+        updateInFlight();
+        if (!exchange.requestStreaming) {
+            exchange.request.release();
         }
-        if (exchange.rest != null) {
-            exchange.rest.abandon();
+        if (exchange.bodyRelay != null) {
+            exchange.bodyRelay.abandon();
         }
-        exchange.attempts.forEach(HostPool.Attempt::withdraw);  // one that still waits for its connection is for nobody
-        forget(exchange);
+        exchange.attempts.forEach(HostConnectionPool.Attempt::cancelIfUnsent);  // those that still wait for a connection are not needed
+        removeIfDone(exchange);
     }
 
-    private void forget(Exchange exchange) {
-        if (exchange.ended && exchange.out == 0) {
-            ledger.remove(exchange.id);
+    private void removeIfDone(Exchange exchange) {
+        if (exchange.ended && exchange.unresolvedAttempts == 0) {
+            exchanges.remove(exchange.id);
         }
     }
 
-    private void resolved(Exchange exchange, int number, String uid, long elapsed, Outcome outcome,
-            FullHttpResponse answer, LoadReport report) {
-        exchange.late = outcome == Outcome.EXPIRED;
-        tally.add(outcome);
+    private void attemptEnded(Exchange exchange, int number, String hostId, long elapsed, Outcome outcome,
+            FullHttpResponse response, LoadReport report) {
+        exchange.lastAttemptExpired = outcome == Outcome.EXPIRED;
+        tally.increment(outcome);
         if (outcome != Outcome.DELIVERED && !exchange.ended) {
-            log.add(EventLog.Event.ATTEMPT_FAILED, "trace", exchange.trace, "attempt", number, "host", uid, "outcome", outcome,
-                    "after_us", elapsed);
+            log.add(EventLog.Event.ATTEMPT_FAILED, "trace", exchange.traceId, "attempt", number, "host", hostId,
+                    "outcome", outcome, "after_us", elapsed);
         }
-        if (outcome == Outcome.DELIVERED && !exchange.ended && !exchange.begun) {
+        if (outcome == Outcome.DELIVERED && !exchange.ended && !exchange.responseStreaming) {
             finish(exchange);
-            tally.add(exchange.className, Tally.Ended.SERVED);
-            exchange.client.served(answer);
-        }
-        event(exchange, now -> {
-            exchange.out--;
-            forget(exchange);
-            module.resolved(now, exchange.id, number, uid, outcome, elapsed, exchange.ended || exchange.begun, report);
+            tally.increment(exchange.className, GatewayMetrics.RequestOutcome.SERVED);
+            exchange.client.sendResponse(response);
+        }
+        dispatch(exchange, now -> {
+            exchange.unresolvedAttempts--;
+            removeIfDone(exchange);
+            balancer.attemptEnded(now, exchange.id, number, hostId, outcome, elapsed,
+                    exchange.ended || exchange.responseStreaming, report);
         });
     }
 
-    /** The answer's rest goes to the client as it comes: the attempt is the client's from now on. */
-    private void begun(Exchange exchange, int number, FullHttpResponse answer, Relay rest) {
-        if (exchange.ended || exchange.begun) {
-            rest.abandon();
+    /** Streams the rest of the response to the client: from now on no other attempt can answer the request. */
+    private void responseStarted(Exchange exchange, int number, FullHttpResponse response, BodyRelay bodyRelay) {
+        if (exchange.ended || exchange.responseStreaming) {
+            bodyRelay.abandon();
             exchange.attempts.get(number).cancel();
             return;
         }
-        exchange.begun = true;
-        exchange.backstop.cancel(false);
-        event(exchange, now -> module.streaming(now, exchange.id, number));
-        exchange.client.begun(answer, rest, whole -> {
+        exchange.responseStreaming = true;
+        exchange.deadlineTimer.cancel(false);
+        dispatch(exchange, now -> balancer.streamingStarted(now, exchange.id, number));
+        exchange.client.startStreaming(response, bodyRelay, complete -> {
             if (!exchange.ended) {
                 finish(exchange);
-                tally.add(exchange.className, whole ? Tally.Ended.SERVED : Tally.Ended.FAILED);
+                tally.increment(exchange.className, complete ? GatewayMetrics.RequestOutcome.SERVED : GatewayMetrics.RequestOutcome.FAILED);
             }
         });
     }
 
-    private LoadReport report(FullHttpResponse answer) {
-        boolean given = answer != null && settings.habits().reports() == Reports.INLINE;
-        return LoadReports.parse(given ? answer.headers().get("Endpoint-Load-Metrics") : null);
+    private LoadReport loadReport(FullHttpResponse response) {
+        boolean inline = response != null && settings.capabilities().loadReportMode() == LoadReportMode.INLINE;
+        return LoadReportParser.parse(inline ? response.headers().get("Endpoint-Load-Metrics") : null);
     }
 
     // ---- actions
 
     @Override
-    public void send(long id, String uid, long timeout) {
-        Exchange exchange = ledger.get(id);
-        lookForDeparture(exchange);
+    public void send(long id, String hostId, long timeout) {
+        Exchange exchange = exchanges.get(id);
+        checkClientConnected(exchange);
         int number = exchange.attempts.size();
-        boolean refused = exchange.ended || exchange.relaying || number >= settings.limits().maxAttempts();
-        FullHttpRequest message = onward(exchange);
-        exchange.attempts.add(hosts.send(uid, message, exchange.rest, refused ? 0 : timeout,
-                new Course(exchange, number, uid)));
-        exchange.out++;  // only now: of what could not be sent there is no outcome
+        boolean rejected = exchange.ended || exchange.requestStreaming || number >= settings.limits().maxAttempts();
+        FullHttpRequest request = upstreamRequest(exchange);
+        exchange.attempts.add(hostPool.send(hostId, request, exchange.bodyRelay, rejected ? 0 : timeout,
+                new AttemptHandler(exchange, number, hostId)));
+        exchange.unresolvedAttempts++;  // not before: a send that threw an exception has no outcome
     }
 
-    /** An attempt that is about to begin is not for a client that has gone. */
-    private void lookForDeparture(Exchange exchange) {
+    /** Checks, before an attempt starts, that the client has not disconnected. */
+    private void checkClientConnected(Exchange exchange) {
         long now = now();
-        if (exchange.ended || now - exchange.lookedAt < LOOK_AFTER_MICROS) {
+        if (exchange.ended || now - exchange.clientCheckedAt < CLIENT_CHECK_INTERVAL_MICROS) {
             return;
         }
-        exchange.lookedAt = now;
-        if (!exchange.client.present()) {
-            exchange.departed();
+        exchange.clientCheckedAt = now;
+        if (!exchange.client.isConnected()) {
+            exchange.clientLeft();
         }
     }
 
-    /** What becomes of one attempt. Its elapsed time is the host's: up to the answer's first bytes where that is passed
-        on, and from the last byte of a request that is relayed. */
-    private final class Course implements HostPool.Ended {
+    /** Follows one attempt. Its elapsed time is the host's share: it starts at the last byte of a request that is
+        relayed, and ends at the first bytes of a response that is streamed. */
+    private final class AttemptHandler implements HostConnectionPool.AttemptListener {
 
         private final Exchange exchange;
         private final int number;
-        private final String uid;
+        private final String hostId;
         private long sentAt = now();
-        private long begunAt;
-        private LoadReport report;
+        private long responseStartedAt;
+        private LoadReport loadReport;
 
-        Course(Exchange exchange, int number, String uid) {
+        AttemptHandler(Exchange exchange, int number, String hostId) {
             this.exchange = exchange;
             this.number = number;
-            this.uid = uid;
+            this.hostId = hostId;
         }
 
         @Override
         public boolean mayWrite() {
-            lookForDeparture(exchange);
-            return !exchange.ended && module.mayWrite(now(), exchange.id, number);
+            checkClientConnected(exchange);
+            return !exchange.ended && balancer.mayWrite(now(), exchange.id, number);
         }
 
         @Override
-        public void relaying() {
+        public void onRequestStreaming() {
             if (!exchange.ended) {
-                exchange.relaying = true;
-                exchange.message.release();
-                exchange.backstop.cancel(false);
-                event(exchange, now -> module.streaming(now, exchange.id, number));
+                exchange.requestStreaming = true;
+                exchange.request.release();
+                exchange.deadlineTimer.cancel(false);
+                dispatch(exchange, now -> balancer.streamingStarted(now, exchange.id, number));
             }
         }
 
         @Override
-        public void written() {
-            tally.add(Tally.Count.ATTEMPTS_WRITTEN);
-            if (exchange.rest != null && !exchange.ended) {
+        public void onRequestWritten() {
+            tally.increment(GatewayMetrics.Counter.ATTEMPTS_WRITTEN);
+            if (exchange.bodyRelay != null && !exchange.ended) {
                 sentAt = now();
-                exchange.whole();
-                exchange.startBackstop();
+                exchange.bodyComplete();
+                exchange.startDeadline();
             }
         }
 
         @Override
-        public void begun(FullHttpResponse answer, Relay rest) {
-            begunAt = now();
-            report = report(answer);
-            Gateway.this.begun(exchange, number, answer, rest);
+        public void onResponseStart(FullHttpResponse response, BodyRelay bodyRelay) {
+            responseStartedAt = now();
+            loadReport = loadReport(response);
+            Gateway.this.responseStarted(exchange, number, response, bodyRelay);
         }
 
         @Override
-        public void ended(Outcome outcome, FullHttpResponse answer) {
-            long elapsed = (begunAt == 0 ? now() : begunAt) - sentAt;
-            resolved(exchange, number, uid, elapsed, outcome, answer, report == null ? report(answer) : report);
-        }
-    }
-
-    private static FullHttpRequest onward(Exchange exchange) {
-        FullHttpRequest from = exchange.message;
-        ByteBuf body = exchange.ended || exchange.relaying ? Unpooled.EMPTY_BUFFER : from.content().retainedDuplicate();
-        FullHttpRequest message = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, from.method(), from.uri(), body);
-        for (String name : PASSED_ON) {
-            if (from.headers().contains(name)) {
-                message.headers().set(name, from.headers().get(name));
+        public void onEnd(Outcome outcome, FullHttpResponse response) {
+            long elapsed = (responseStartedAt == 0 ? now() : responseStartedAt) - sentAt;
+            attemptEnded(exchange, number, hostId, elapsed, outcome, response,
+                    loadReport == null ? loadReport(response) : loadReport);
+        }
+    }
+
+    private static FullHttpRequest upstreamRequest(Exchange exchange) {
+        FullHttpRequest original = exchange.request;
+        ByteBuf body = exchange.ended || exchange.requestStreaming ? Unpooled.EMPTY_BUFFER
+                : original.content().retainedDuplicate();
+        FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, original.method(), original.uri(),
+                body);
+        for (String name : FORWARDED_HEADERS) {
+            if (original.headers().contains(name)) {
+                request.headers().set(name, original.headers().get(name));
             }
         }
-        if (exchange.rest != null) {  // framed as it came
-            HttpUtil.setTransferEncodingChunked(message, HttpUtil.isTransferEncodingChunked(from));
-            if (HttpUtil.isContentLengthSet(from)) {
-                message.headers().set(HttpHeaderNames.CONTENT_LENGTH, HttpUtil.getContentLength(from));
+        if (exchange.bodyRelay != null) {  // keeps the framing that the client used
+            HttpUtil.setTransferEncodingChunked(request, HttpUtil.isTransferEncodingChunked(original));
+            if (HttpUtil.isContentLengthSet(original)) {
+                request.headers().set(HttpHeaderNames.CONTENT_LENGTH, HttpUtil.getContentLength(original));
             }
-        } else if (body.isReadable() || from.method().equals(HttpMethod.POST)) {
-            message.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.readableBytes());
+        } else if (body.isReadable() || original.method().equals(HttpMethod.POST)) {
+            request.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.readableBytes());
         }
-        if (from.headers().contains(HttpHeaderNames.CONTENT_TYPE)) {
-            message.headers().set(HttpHeaderNames.CONTENT_TYPE, from.headers().get(HttpHeaderNames.CONTENT_TYPE));
+        if (original.headers().contains(HttpHeaderNames.CONTENT_TYPE)) {
+            request.headers().set(HttpHeaderNames.CONTENT_TYPE, original.headers().get(HttpHeaderNames.CONTENT_TYPE));
         }
-        return message;
+        return request;
     }
 
     @Override
     public void cancel(long id, int attempt) {
-        Exchange exchange = ledger.get(id);
+        Exchange exchange = exchanges.get(id);
         if (exchange != null && attempt < exchange.attempts.size()) {
             exchange.attempts.get(attempt).cancel();
         }
@@ -547,72 +566,72 @@
 
     @Override
     public void refuse(long id, long retryAfter) {
-        Exchange exchange = ledger.get(id);
-        if (exchange != null && !exchange.ended && !exchange.begun) {
+        Exchange exchange = exchanges.get(id);
+        if (exchange != null && !exchange.ended && !exchange.responseStreaming) {
             finish(exchange);
-            tally.add(exchange.className, Tally.Ended.REFUSED);
-            log.add(EventLog.Event.REQUEST_REFUSED, "trace", exchange.trace, "class", exchange.className, "attempts",
+            tally.increment(exchange.className, GatewayMetrics.RequestOutcome.REFUSED);
+            log.add(EventLog.Event.REQUEST_REFUSED, "trace", exchange.traceId, "class", exchange.className, "attempts",
                     exchange.attempts.size());
-            exchange.client.refused(retryAfter);
+            exchange.client.sendRefusal(retryAfter);
         }
     }
 
     @Override
     public void fail(long id) {
-        Exchange exchange = ledger.get(id);
-        if (exchange != null && !exchange.ended && !exchange.begun) {
+        Exchange exchange = exchanges.get(id);
+        if (exchange != null && !exchange.ended && !exchange.responseStreaming) {
             finish(exchange);
-            failed(exchange, exchange.late ? "attempt_late" : "no_further_attempt");
-            exchange.client.failed(exchange.late);
+            recordFailure(exchange, exchange.lastAttemptExpired ? "attempt_late" : "no_further_attempt");
+            exchange.client.sendFailure(exchange.lastAttemptExpired);
         }
     }
 
     @Override
-    public void timer(long at, String handle) {
+    public void scheduleTimer(long at, String handle) {
         loop.schedule(() -> {
-            long begunAt = monitor.begin();
-            event(null, now -> module.timer(now, handle));
-            monitor.ended(LoopMonitor.Task.TIMER, begunAt);
+            long startedAt = loopMonitor.taskStarted();
+            dispatch(null, now -> balancer.timerFired(now, handle));
+            loopMonitor.taskEnded(LoopMonitor.Task.TIMER, startedAt);
         }, Math.max(1, at - now()), TimeUnit.MICROSECONDS);
     }
 
     @Override
-    public void probe(String uid) {
-        boolean reports = settings.habits().reports() != Reports.OFF;
-        FullHttpRequest message = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET,
-                reports ? "/status/load" : "/health");
+    public void probe(String hostId) {
+        boolean wantsLoadReport = settings.capabilities().loadReportMode() != LoadReportMode.OFF;
+        FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET,
+                wantsLoadReport ? "/status/load" : "/health");
         long sentAt = now();
-        hosts.send(uid, message, PROBE_TIMEOUT_MICROS, (outcome, answer) -> {
+        hostPool.send(hostId, request, PROBE_TIMEOUT_MICROS, (outcome, response) -> {
             long elapsed = now() - sentAt;
-            LoadReport report = LoadReports.parse(answer == null || !reports ? null
-                    : answer.content().toString(StandardCharsets.UTF_8));
-            event(null, now -> module.probed(now, uid, outcome, elapsed, report));
+            LoadReport loadReport = LoadReportParser.parse(response == null || !wantsLoadReport ? null
+                    : response.content().toString(StandardCharsets.UTF_8));
+            dispatch(null, now -> balancer.probeEnded(now, hostId, outcome, elapsed, loadReport));
         });
     }
 
     @Override
-    public void watch(boolean active) {
+    public void watchHostList(boolean active) {
         discovery.watch(active);
     }
 
     @Override
-    public void fetch() {
+    public void fetchHostList() {
         discovery.fetch();
     }
 
     @Override
-    public void closeIdle(String uid) {
-        hosts.closeIdle(uid);
+    public void closeIdleConnections(String hostId) {
+        hostPool.closeIdle(hostId);
     }
 
-    /** The settings allow no messages between gateways; the module sends none. */
+    /** Unsupported: the settings allow no messages between gateways, so the balancer sends none. */
     @Override
-    public void tell(int peer, byte[] message) {
-        throw new UnsupportedOperationException("gateways share nothing");
+    public void sendToPeer(int peer, byte[] message) {
+        throw new UnsupportedOperationException("messages between gateways are not supported");
     }
 
     @Override
     public void log(String line) {
-        out.accept(line);
+        logOutput.accept(line);
     }
 }
--- a/src/main/java/mastdrift/net/HostList.java
+++ b/src/main/java/mastdrift/net/HostList.java
@@ -5,57 +5,58 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.ToLongBiFunction;
-import mastdrift.Balancer.Health;
+import mastdrift.Balancer.HostState;
 import mastdrift.Balancer.Host;
 
-/** A list of hosts, or the entries of it that changed, in discovery's form. */
-record HostList(long rev, boolean all, List<Entry> entries) {
+/** A host list from discovery: all hosts where {@code full}, and otherwise the entries that changed. */
+record HostList(long revision, boolean full, List<Entry> entries) {
 
-    /** A host as the module knows it, by its uid, and where this gateway reaches it. */
-    record Entry(Host host, InetSocketAddress at) { }
+    /** A host as the balancer knows it, by its uid, and the address at which this gateway reaches it. */
+    record Entry(Host host, InetSocketAddress endpoint) { }
 
-    /** Throws IllegalArgumentException for what is no list. */
+    /** Reads a list from parsed JSON; throws IllegalArgumentException for anything else. */
     static HostList parse(Object json) {
         if (!(json instanceof Map<?, ?> root && root.get("targets") instanceof List<?> targets
-                && root.get("rev") instanceof Number rev && root.get("all") instanceof Boolean all)) {
+                && root.get("rev") instanceof Number revision && root.get("all") instanceof Boolean full)) {
             throw new IllegalArgumentException("expected a list with rev, all and targets");
         }
         List<Entry> entries = new ArrayList<>();
         for (Object target : targets) {
-            entries.add(entry(target instanceof Map<?, ?> object ? object : Map.of()));
+            entries.add(parseEntry(target instanceof Map<?, ?> object ? object : Map.of()));
         }
-        return new HostList(rev.longValue(), all, entries);
+        return new HostList(revision.longValue(), full, entries);
     }
 
-    private static Entry entry(Map<?, ?> target) {
-        String uid = Config.text(target, "uid");
-        String state = Config.text(target, "state");
-        Health health = switch (state) {
-            case "in_service" -> Health.UP;
-            case "terminating" -> Health.LEAVING;
-            case "terminated" -> Health.GONE;
+    private static Entry parseEntry(Map<?, ?> target) {
+        String uid = Config.stringValue(target, "uid");
+        String state = Config.stringValue(target, "state");
+        HostState hostState = switch (state) {
+            case "in_service" -> HostState.IN_SERVICE;
+            case "terminating" -> HostState.TERMINATING;
+            case "terminated" -> HostState.TERMINATED;
             default -> throw new IllegalArgumentException("expected a known state of " + uid + ", not " + state);
         };
         if (uid.isEmpty()) {
             throw new IllegalArgumentException("expected a uid");
         }
-        // In Unix time, which Gateway.learn moves to the gateway's own clock.
-        long born = Math.multiplyExact(number(target, "boot_ms", 0).longValue(), 1000L);
-        return new Entry(new Host(uid, Config.text(target, "az"), number(target, "pod_group", 0).intValue(),
-                Config.text(target, "model"), number(target, "capacity_hint", 1).doubleValue(), health, born),
-                Config.address(Config.text(target, "endpoint")));
+        // In microseconds of Unix time, which Gateway converts to its own clock.
+        long startedAt = Math.multiplyExact(number(target, "boot_ms", 0).longValue(), 1000L);
+        return new Entry(new Host(uid, Config.stringValue(target, "az"), number(target, "pod_group", 0).intValue(),
+                Config.stringValue(target, "model"), number(target, "capacity_hint", 1).doubleValue(), hostState,
+                startedAt),
+                Config.parseAddress(Config.stringValue(target, "endpoint")));
     }
 
-    /** The same with hosts' starts on another clock. */
-    HostList withStarts(ToLongBiFunction<String, Long> place) {
-        return new HostList(rev, all, entries.stream().map(entry -> {
+    /** Returns this list with the hosts' start times converted to another clock. */
+    HostList withStartTimes(ToLongBiFunction<String, Long> conversion) {
+        return new HostList(revision, full, entries.stream().map(entry -> {
             Host host = entry.host;
-            return new Entry(new Host(host.address(), host.zone(), host.cell(), host.kind(), host.weight(), host.health(),
-                    place.applyAsLong(host.address(), host.born())), entry.at);
+            return new Entry(new Host(host.address(), host.zone(), host.cell(), host.model(), host.weight(),
+                    host.state(), conversion.applyAsLong(host.address(), host.startedAt())), entry.endpoint);
         }).toList());
     }
 
-    private static Number number(Map<?, ?> target, String name, int otherwise) {
-        return target.get(name) instanceof Number given ? given : otherwise;
+    private static Number number(Map<?, ?> target, String name, int defaultValue) {
+        return target.get(name) instanceof Number value ? value : defaultValue;
     }
 }
--- /dev/null
+++ b/src/main/java/mastdrift/net/MessageAggregator.java
@@ -0,0 +1,192 @@
+package mastdrift.net;
+
+import io.netty.buffer.ByteBuf;
+import io.netty.buffer.CompositeByteBuf;
+import io.netty.buffer.Unpooled;
+import io.netty.channel.ChannelHandlerContext;
+import io.netty.channel.SimpleChannelInboundHandler;
+import io.netty.handler.codec.DecoderResult;
+import io.netty.handler.codec.TooLongFrameException;
+import io.netty.handler.codec.http.DefaultFullHttpRequest;
+import io.netty.handler.codec.http.DefaultFullHttpResponse;
+import io.netty.handler.codec.http.EmptyHttpHeaders;
+import io.netty.handler.codec.http.FullHttpMessage;
+import io.netty.handler.codec.http.HttpContent;
+import io.netty.handler.codec.http.HttpMessage;
+import io.netty.handler.codec.http.HttpObject;
+import io.netty.handler.codec.http.HttpRequest;
+import io.netty.handler.codec.http.HttpResponse;
+import io.netty.handler.codec.http.HttpUtil;
+import io.netty.handler.codec.http.LastHttpContent;
+
+/** Aggregates the parts that an HTTP codec decodes. A message with a body of up to MAX_AGGREGATED_BYTES is passed on
+    whole; a longer one as soon as it is known to be longer, with a relay for the rest of its body. A message that can't
+    be decoded, or whose body is too long, is passed on with a failed decoder result, or fails its relay if that has
+    started. */
+final class MessageAggregator extends SimpleChannelInboundHandler<HttpObject> {
+
+    /** Bodies up to this size are kept whole, so that the request can be retried. */
+    static final int MAX_AGGREGATED_BYTES = 64 << 10;
+    /** Longer bodies are rejected. */
+    static final long MAX_BODY_BYTES = 32L << 20;
+    private static final int MAX_COMPONENTS = 1024;
+
+    /** A message with the part of its body that has arrived, which the receiver releases; {@code bodyRelay} supplies
+        the rest, and is null if the message is complete. */
+    record AggregatedMessage(FullHttpMessage message, BodyRelay bodyRelay) { }
+
+    /** CONTINUE_EXPECTED: the client waits for a 100 response before it sends the body of the request. */
+    enum Event { CONTINUE_EXPECTED }
+
+    private HttpMessage head;  // of the message that is being aggregated, null if there is none
+    private ByteBuf body = Unpooled.EMPTY_BUFFER;
+    private BodyRelay activeRelay;
+    private long contentLength;  // as declared by the head, negative if it is not
+    private long bytes;
+
+    /** How much of the body of the current message has arrived; 0 between two messages. */
+    long bytes() {
+        return bytes;
+    }
+
+    /** Whether a message has been read in part and not been passed on. */
+    boolean hasIncompleteMessage() {
+        return head != null;
+    }
+
+    /** Whether the current message is of unknown length and a part of its body has arrived. */
+    boolean hasPartialBodyOfUnknownLength() {
+        return head != null && contentLength < 0 && body.isReadable();
+    }
+
+    /** Passes on the part that has arrived, with a relay for the rest of the body. */
+    void startRelay(ChannelHandlerContext context) {
+        activeRelay = new BodyRelay();
+        emit(context, null, activeRelay);
+    }
+
+    @Override
+    protected void channelRead0(ChannelHandlerContext context, HttpObject part) {
+        if (part instanceof HttpMessage message) {
+            startMessage(context, message);
+        }
+        if (part instanceof HttpContent content) {
+            addContent(context, content);
+        }
+    }
+
+    private void startMessage(ChannelHandlerContext context, HttpMessage message) {
+        discard();
+        head = message;
+        bytes = 0;
+        Throwable decodeError = message.decoderResult().cause();
+        contentLength = decodeError != null || HttpUtil.isTransferEncodingChunked(message) ? -1
+                : HttpUtil.getContentLength(message, -1L);
+        if (decodeError != null || contentLength > MAX_BODY_BYTES) {
+            emit(context, decodeError != null ? decodeError : bodyTooLong(), null);
+            return;
+        }
+        if (message instanceof HttpRequest && HttpUtil.is100ContinueExpected(message)) {
+            context.fireUserEventTriggered(Event.CONTINUE_EXPECTED);
+        }
+        if (message instanceof HttpRequest && contentLength > MAX_AGGREGATED_BYTES) {
+            startRelay(context);
+        }
+    }
+
+    private static TooLongFrameException bodyTooLong() {
+        return new TooLongFrameException("body");
+    }
+
+    private void addContent(ChannelHandlerContext context, HttpContent content) {
+        ByteBuf piece = content.content();
+        bytes += piece.readableBytes();
+        Throwable error = bytes > MAX_BODY_BYTES ? bodyTooLong() : content.decoderResult().cause();
+        boolean last = content instanceof LastHttpContent;
+        if (activeRelay != null) {
+            if (piece.isReadable() && error == null) {
+                activeRelay.add(piece.retain());
+            }
+            if (error != null) {
+                activeRelay.fail();
+            } else if (last) {
+                activeRelay.complete();
+            }
+            if (error != null || last) {
+                activeRelay = null;
+                bytes = 0;
+            }
+        } else if (head != null) {
+            aggregate(context, piece);
+            if (error != null || last) {
+                emit(context, error, null);
+            } else if (body.readableBytes() > MAX_AGGREGATED_BYTES
+                    || contentLength > MAX_AGGREGATED_BYTES && body.isReadable()) {
+                startRelay(context);
+            }
+        }
+    }
+
+    /** Avoids a composite buffer for one piece, which is the usual case. */
+    private void aggregate(ChannelHandlerContext context, ByteBuf piece) {
+        if (!piece.isReadable()) {
+            return;
+        }
+        if (!body.isReadable()) {
+            body = piece.retain();
+            return;
+        }
+        if (!(body instanceof CompositeByteBuf)) {
+            body = context.alloc().compositeBuffer(MAX_COMPONENTS).addComponent(true, body);
+        }
+        ((CompositeByteBuf) body).addComponent(true, piece.retain());
+    }
+
+    private void emit(ChannelHandlerContext context, Throwable error, BodyRelay relay) {
+        FullHttpMessage message = head instanceof HttpRequest request
+                ? new DefaultFullHttpRequest(request.protocolVersion(), request.method(), request.uri(), body,
+                        request.headers(), EmptyHttpHeaders.INSTANCE)
+                : new DefaultFullHttpResponse(head.protocolVersion(), ((HttpResponse) head).status(), body,
+                        head.headers(), EmptyHttpHeaders.INSTANCE);
+        if (error != null) {
+            message.setDecoderResult(DecoderResult.failure(error));
+        }
+        head = null;
+        body = Unpooled.EMPTY_BUFFER;
+        bytes = relay == null ? 0 : bytes;
+        context.fireChannelRead(new AggregatedMessage(message, relay));
+    }
+
+    /** Fails the current message, whatever arrives. */
+    void abort() {
+        discard();
+    }
+
+    /** A connection that fails does not complete a message, not even one whose body ends with the connection. */
+    @Override
+    public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
+        discard();
+        context.fireExceptionCaught(cause);
+    }
+
+    private void discard() {
+        body.release();
+        body = Unpooled.EMPTY_BUFFER;
+        head = null;
+        if (activeRelay != null) {
+            activeRelay.fail();
+            activeRelay = null;
+        }
+    }
+
+    @Override
+    public void channelInactive(ChannelHandlerContext context) {
+        context.fireChannelInactive();
+        discard();
+    }
+
+    @Override
+    public void handlerRemoved(ChannelHandlerContext context) {
+        discard();
+    }
+}
--- /dev/null
+++ b/src/main/java/mastdrift/net/ReadAheadHandler.java
@@ -0,0 +1,231 @@
+package mastdrift.net;
+
+import io.netty.buffer.ByteBuf;
+import io.netty.channel.AdaptiveRecvByteBufAllocator;
+import io.netty.channel.ChannelHandlerContext;
+import io.netty.channel.ChannelInboundHandlerAdapter;
+import io.netty.channel.RecvByteBufAllocator;
+import io.netty.util.ReferenceCountUtil;
+import java.util.ArrayDeque;
+import java.util.Queue;
+import java.util.concurrent.TimeUnit;
+import java.util.function.BooleanSupplier;
+import java.util.function.LongSupplier;
+
+/** Reads ahead on a client's connection, so that a disconnect, which arrives after the client's requests, is detected
+    before work is done for a client that has gone. Input that a turn of the event loop reads is delivered after the
+    turn's events, so that a disconnect that was read in the same turn comes first; {@link #receiveBufferAllocator}
+    makes the turn read that far. While the receiver pauses, reading goes on for as long as a disconnect is relevant,
+    and the input is buffered here in bounded memory. The first handler of a pipeline; used on its loop's thread. */
+final class ReadAheadHandler extends ChannelInboundHandlerAdapter {
+
+    // Once this much has been read, it is delivered before more is read.
+    private static final int MAX_TURN_BYTES = 32 << 10;
+    // Reads of one connection in a turn: a client that keeps sending small pieces must not occupy the loop.
+    private static final int MAX_TURN_READS = 16;
+    // By this time the loop's next turn has read further input.
+    private static final long NEXT_TURN_MILLIS = 1;
+    // By this time the selector has processed that the socket is not to be watched.
+    private static final long SELECTOR_REARM_MILLIS = 1;
+    // Limit for one connection whose receiver pauses.
+    private static final int MAX_READ_AHEAD_BYTES = 1 << 20;
+
+    /** The memory that all connections of one gateway may use together. */
+    static final class MemoryBudget {
+
+        private final int maxBytes;
+        private int usedBytes;  // capacity of the buffers of all connections
+
+        /** While their receivers pause, connections buffer about {@code maxBytes} together. */
+        MemoryBudget(int maxBytes) {
+            this.maxBytes = maxBytes;
+        }
+
+        boolean isUnused() {
+            return usedBytes == 0;
+        }
+    }
+
+    private final MemoryBudget budget;
+    private final BooleanSupplier disconnectRelevant;
+    private final LongSupplier clock;
+    private final Queue<ByteBuf> buffers = new ArrayDeque<>();
+    private ChannelHandlerContext context;
+    private int bufferedBytes;  // capacity of the buffers
+    private boolean paused;  // delivery is paused
+    private boolean discarding;  // input is read and released
+    private boolean deliveryScheduled;
+    private boolean rearmingSelector;  // reading is off for a moment, so that the selector registers it anew
+    private boolean selectorNotified;  // the selector has reported input since reading last began
+    private int readsThisTurn;  // in this turn of the loop
+    private long lastReadAt;  // the last time that input arrived
+
+    /** The allocator for the channels of such connections: a turn of the loop reads until there is no more input, and
+        so finds a disconnect that follows it. Both may have arrived if the loop was late. */
+    static RecvByteBufAllocator receiveBufferAllocator() {
+        AdaptiveRecvByteBufAllocator allocator = DownstreamServer.receiveBufferAllocator();
+        allocator.respectMaybeMoreData(false).maxMessagesPerRead(MAX_TURN_READS);
+        return allocator;
+    }
+
+    /** {@code disconnectRelevant} is queried while the receiver pauses. The clock counts microseconds from an arbitrary
+        origin. */
+    ReadAheadHandler(MemoryBudget budget, BooleanSupplier disconnectRelevant, LongSupplier clock) {
+        this.budget = budget;
+        this.disconnectRelevant = disconnectRelevant;
+        this.clock = clock;
+    }
+
+    /** Whether input has been read that was not delivered yet. */
+    boolean hasBufferedData() {
+        return !buffers.isEmpty();
+    }
+
+    /** Pauses or continues delivery. */
+    void setPaused(boolean pause) {
+        paused = pause;
+        scheduleDelivery();
+        updateAutoRead();
+    }
+
+    /** From now on, input is read and discarded. */
+    void discardInput() {
+        discarding = true;
+        releaseBuffers();
+        updateAutoRead();
+    }
+
+    @Override
+    public void handlerAdded(ChannelHandlerContext added) {
+        context = added;
+    }
+
+    @Override
+    public void handlerRemoved(ChannelHandlerContext removed) {
+        releaseBuffers();
+    }
+
+    @Override
+    public void channelRead(ChannelHandlerContext from, Object message) {
+        if (discarding) {
+            ReferenceCountUtil.release(message);
+            return;
+        }
+        ByteBuf buffer = paused ? compact((ByteBuf) message) : (ByteBuf) message;
+        selectorNotified |= !(from.channel() instanceof TcpChannel connection && connection.isReadingUnprompted());
+        readsThisTurn++;
+        lastReadAt = clock.getAsLong();
+        buffers.add(buffer);
+        addBufferedBytes(buffer.capacity());
+        updateAutoRead();
+    }
+
+    /** Copies input that leaves most of its buffer unused, since it may be held for long. */
+    private ByteBuf compact(ByteBuf buffer) {
+        if (2 * buffer.readableBytes() >= buffer.capacity()) {
+            return buffer;
+        }
+        ByteBuf copy = context.alloc().buffer(buffer.readableBytes()).writeBytes(buffer);
+        buffer.release();
+        return copy;
+    }
+
+    @Override
+    public void channelReadComplete(ChannelHandlerContext from) {
+        boolean mayBeMore = readsThisTurn >= MAX_TURN_READS;
+        readsThisTurn = 0;
+        if (mayBeMore && !paused && !deliveryScheduled && bufferedBytes < MAX_TURN_BYTES) {
+            // The read limit was reached by small pieces: the next turn continues, and its input is delivered with
+            // this. A timer is needed since no event follows if there is no more input.
+            from.channel().eventLoop().schedule(this::scheduleDelivery, NEXT_TURN_MILLIS, TimeUnit.MILLISECONDS);
+        } else {
+            scheduleDelivery();
+        }
+    }
+
+    @Override
+    public void channelInactive(ChannelHandlerContext from) {
+        releaseBuffers();
+        from.fireChannelInactive();
+    }
+
+    private void addBufferedBytes(int bytes) {
+        bufferedBytes += bytes;
+        budget.usedBytes += bytes;
+    }
+
+    /** Delivers the input after the events of this turn of the loop, which may include a disconnect, and never while
+        the receiver is at work. */
+    private void scheduleDelivery() {
+        if (!deliveryScheduled && !paused && !buffers.isEmpty()) {
+            deliveryScheduled = true;
+            context.channel().eventLoop().execute(this::deliver);
+        }
+    }
+
+    private void deliver() {
+        deliveryScheduled = false;
+        readAgainIfStale();
+        if (!context.channel().isActive()) {
+            releaseBuffers();  // the client has disconnected, which the receiver is told next
+        }
+        boolean delivered = false;
+        while (!paused && !buffers.isEmpty()) {
+            ByteBuf next = buffers.poll();
+            addBufferedBytes(-next.capacity());
+            delivered = true;
+            context.fireChannelRead(next);
+        }
+        if (delivered) {
+            context.fireChannelReadComplete();
+            updateAutoRead();
+        }
+    }
+
+    /** Reads again if the loop was delayed since the input was read: the client may have disconnected meanwhile. */
+    private void readAgainIfStale() {
+        boolean stale = !buffers.isEmpty() && clock.getAsLong() - lastReadAt > Gateway.CLIENT_CHECK_INTERVAL_MICROS;
+        if (stale && !paused && context.channel() instanceof TcpChannel connection) {
+            connection.readNow();
+        }
+    }
+
+    /** Starts or stops reading, by the memory that is left. Also to be called when other connections may have freed
+        some. */
+    void updateAutoRead() {
+        boolean hasRoom = !paused ? bufferedBytes < MAX_TURN_BYTES
+                : bufferedBytes < MAX_READ_AHEAD_BYTES && budget.usedBytes < budget.maxBytes
+                && disconnectRelevant.getAsBoolean();
+        boolean autoRead = !rearmingSelector && (discarding || hasRoom);
+        if (autoRead != context.channel().config().isAutoRead()) {
+            selectorNotified = false;
+            context.channel().config().setAutoRead(autoRead);
+        }
+    }
+
+    /** To be called periodically: reads if the selector has reported nothing since reading began, and makes it watch
+        the connection again if there was input. The system may have lacked the memory to watch it, which the JDK does
+        not report. */
+    void readUnlessNotified() {
+        if (selectorNotified || rearmingSelector || hasBufferedData()
+                || !(context.channel() instanceof TcpChannel connection)) {
+            return;
+        }
+        connection.readNow();
+        if (hasBufferedData()) {
+            rearmingSelector = true;
+            updateAutoRead();
+            connection.eventLoop().schedule(() -> {
+                rearmingSelector = false;
+                updateAutoRead();
+            }, SELECTOR_REARM_MILLIS, TimeUnit.MILLISECONDS);
+        }
+    }
+
+    private void releaseBuffers() {
+        for (ByteBuf next = buffers.poll(); next != null; next = buffers.poll()) {
+            addBufferedBytes(-next.capacity());
+            next.release();
+        }
+    }
+}
--- a/src/main/java/mastdrift/net/MonitoredReads.java
+++ b/src/main/java/mastdrift/net/ReadTimingHandler.java
@@ -3,22 +3,22 @@
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
 
-/** Tells the loop's monitor how long what has been read takes: decoding it and all that follows at once. */
-final class MonitoredReads extends ChannelInboundHandlerAdapter {
+/** Reports to the event loop's monitor how long each read takes to process: to decode it and all that this triggers. */
+final class ReadTimingHandler extends ChannelInboundHandlerAdapter {
 
     private final LoopMonitor monitor;
     private final LoopMonitor.Task task;
 
-    /** Reads count as that task. */
-    MonitoredReads(LoopMonitor monitor, LoopMonitor.Task task) {
+    /** Reads are reported as {@code task}. */
+    ReadTimingHandler(LoopMonitor monitor, LoopMonitor.Task task) {
         this.monitor = monitor;
         this.task = task;
     }
 
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) {
-        long begunAt = monitor.begin();
+        long startedAt = monitor.taskStarted();
         context.fireChannelRead(message);
-        monitor.ended(task, begunAt);
+        monitor.taskEnded(task, startedAt);
     }
 }
--- a/src/test/java/mastdrift/EmbeddingTest.java
+++ b/src/test/java/mastdrift/EmbeddingTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import mastdrift.Balancer.Host;
-import mastdrift.Balancer.ListForm;
+import mastdrift.Balancer.ListUpdateType;
 import mastdrift.Balancer.Request;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -12,20 +12,20 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The README's embedding example, word for word, compiles and runs. */
+/** The example in README.md that embeds the balancer compiles and runs as it is printed there. */
 class EmbeddingTest {
 
     @Test
     void theReadmeExampleRuns() throws IOException {
-        Gateway actions = new Gateway();
+        TestGateway actions = new TestGateway();
         Balancer.Settings settings = actions.settings();
-        List<Host> knownHosts = List.of(Gateway.up(0, 0), Gateway.up(1, 0));
+        List<Host> knownHosts = List.of(TestGateway.inService(0, 0), TestGateway.inService(1, 0));
         long now = 1_000_000;
 
-        Balancer balancer = new Balance();
-        balancer.start(now, settings, actions);              // once, first
-        balancer.hosts(now, ListForm.CACHED, knownHosts);    // in the same moment
-        balancer.request(now, new Request(7, "read", null, 4711L, 800_000));
+        Balancer balancer = new HeadroomBalancer();
+        balancer.start(now, settings, actions);              // once, before anything else
+        balancer.hostListReceived(now, ListUpdateType.CACHED, knownHosts);    // at the same time
+        balancer.requestReceived(now, new Request(7, "read", null, 4711L, 800_000));
 
         assertEquals(1, actions.sent.size());
         List<String> here = Files.readAllLines(Path.of("src/test/java/mastdrift/EmbeddingTest.java")).stream()
--- a/src/test/java/mastdrift/SilentServerTest.java
+++ b/src/test/java/mastdrift/SilentServerTest.java
@@ -12,10 +12,10 @@
 /** Servers and zones that stop answering. Hosts with an odd number are in zone z1. */
 class SilentServerTest {
 
-    /** A lost zone must be learned from half of its servers, not from a request to each. */
+    /** Guards against a lost zone that costs one request for each of its servers. */
     @Test
-    void aLostZoneIsLeftOnceHalfOfItIsKnownToBeDown() {
-        Gateway gateway = new Gateway().start(120);
+    void aLostZoneGetsNothingOnceHalfOfItIsDown() {
+        TestGateway gateway = new TestGateway().start(120);
         gateway.serve(400, 5_000, 5_000);
         int before = gateway.sent.size();
         loseZone(gateway, 600, Outcome.DIAL_FAILED);
@@ -23,85 +23,85 @@
         assertTrue(lost < 40, lost + " sends into the lost zone");
     }
 
-    /** The retry of a request that met a dead server adds no load and must not fail for want of budget. */
+    /** Guards against retries that fail for lack of budget after a server that is down, where they add no load. */
     @Test
     void retriesFromADownServerAreFree() {
-        Gateway gateway = new Gateway().start(120);
+        TestGateway gateway = new TestGateway().start(120);
         gateway.serve(400, 5_000, 5_000);
         int refused = gateway.refused.size();
         loseZone(gateway, 600, Outcome.DIAL_FAILED);
-        int more = gateway.refused.size() - refused;  // a few go before any server is known to be down
+        int more = gateway.refused.size() - refused;  // a few before any server is known to be down
         assertTrue(more <= 3, "refused " + more);
     }
 
-    /** A host that hangs fails no connection: it must be taken for down, and so probed, by what it owes. */
+    /** Guards against a host that hangs but accepts connections, so that it is never marked down and probed. */
     @Test
-    void aHangingHostIsTakenForDownBeforeItsAttemptsTimeOut() {
-        Gateway gateway = new Gateway().start(4);
+    void aHangingHostIsMarkedDownBeforeItsAttemptsTimeOut() {
+        TestGateway gateway = new TestGateway().start(4);
         gateway.serve(200, 5_000, 5_000);
         gateway.probes.clear();
-        Deque<Gateway.Sent> out = new ArrayDeque<>();
+        Deque<TestGateway.Sent> inFlight = new ArrayDeque<>();
         for (int i = 0; i < 200; i++) {
             int before = gateway.sent.size();
             gateway.request("read", null, gateway.now, 60_000_000);
             gateway.advance(20_000);
-            gateway.sent.stream().skip(before).filter(s -> !s.address().equals("h2")).forEach(out::add);
-            while (!out.isEmpty() && gateway.now - out.peek().at() >= 200_000) {
-                gateway.end(out.poll(), Outcome.DELIVERED);
+            gateway.sent.stream().skip(before).filter(s -> !s.address().equals("h2")).forEach(inFlight::add);
+            while (!inFlight.isEmpty() && gateway.now - inFlight.peek().at() >= 200_000) {
+                gateway.endAttempt(inFlight.poll(), Outcome.DELIVERED);
             }
         }
         assertEquals(List.of("h2"), gateway.probes);
     }
 
-    /** What is read or written slowly for seconds is no sign of silence, of a queue, or of an overload. */
+    /** Guards against long streams taken for a silent server, a queue or an overload. */
     @Test
-    void streamsThatLastTakeNoServerDownAndRefuseNobody() {
-        Gateway gateway = new Gateway().start(4);
+    void longStreamsMarkNoServerDownAndCauseNoRefusals() {
+        TestGateway gateway = new TestGateway().start(4);
         gateway.serve(200, 5_000, 5_000);
         int before = gateway.sent.size();
         for (int i = 0; i < 80; i++) {
             long id = gateway.request("read", null, 5_000_000L + i, 600_000);
-            gateway.module.streaming(gateway.now, id, 0);
+            gateway.balancer.streamingStarted(gateway.now, id, 0);
             gateway.advance(50_000);
         }
-        List<Gateway.Sent> streams = List.copyOf(gateway.sent.subList(before, gateway.sent.size()));
+        List<TestGateway.Sent> streams = List.copyOf(gateway.sent.subList(before, gateway.sent.size()));
         gateway.serve(100, 5_000, 5_000);
         assertEquals(80, streams.size());
         assertEquals(List.of(), gateway.refused);
-        assertEquals(0, gateway.module.excluded(gateway.now));
-        for (Gateway.Sent stream : streams) {
-            gateway.end(stream, Outcome.DELIVERED, 5_000);
+        assertEquals(0, gateway.balancer.excludedHostCount(gateway.now));
+        for (TestGateway.Sent stream : streams) {
+            gateway.endAttempt(stream, Outcome.DELIVERED, 5_000);
         }
         gateway.advance(1_000_000);
         gateway.serve(100, 5_000, 5_000);
         assertEquals(List.of(), gateway.refused);
     }
 
-    /** Nothing is kept of what has gone out in pieces: another host can't have it. */
+    /** Guards against a retry of a streamed request, of which the gateway keeps no copy. */
     @Test
     void aStreamThatFailsIsNotSentAgain() {
-        Gateway gateway = new Gateway().start(4);
+        TestGateway gateway = new TestGateway().start(4);
         long id = gateway.request(7L);
-        gateway.module.streaming(gateway.now, id, 0);
-        gateway.end(gateway.last(), Outcome.DROPPED);
-        assertEquals(1, gateway.sends(id).size());
-        assertTrue(gateway.answered(id));
+        gateway.balancer.streamingStarted(gateway.now, id, 0);
+        gateway.endAttempt(gateway.lastSend(), Outcome.DROPPED);
+        assertEquals(1, gateway.sendsOf(id).size());
+        assertTrue(gateway.refusedOrFailed(id));
     }
 
-    /** Remembered keys must leave a server with the failure that takes it down, not at the next refresh. */
+    /** Guards against sessions that stay at a server until the next refresh after it was marked down. */
     @Test
-    void rememberedKeysLeaveADownServerAtOnce() {
-        Gateway gateway = new Gateway().start(4);
+    void sessionsLeaveADownServerAtOnce() {
+        TestGateway gateway = new TestGateway().start(4);
         for (long key = 0; key < 20; key++) {
             gateway.request(key);
             gateway.advance(1_000);
-            gateway.end(gateway.last(), Outcome.DELIVERED);
+            gateway.endAttempt(gateway.lastSend(), Outcome.DELIVERED);
         }
         String home = gateway.sent.get(0).address();
         gateway.advance(1_500_000);
         gateway.request(0L);
-        assertEquals(home, gateway.last().address());
-        gateway.end(gateway.last(), Outcome.DIAL_FAILED);
+        assertEquals(home, gateway.lastSend().address());
+        gateway.endAttempt(gateway.lastSend(), Outcome.DIAL_FAILED);
         int before = gateway.sent.size();
         for (long key = 1; key < 20; key++) {
             gateway.request(key);
@@ -109,10 +109,11 @@
         assertTrue(gateway.sent.stream().skip(before).noneMatch(s -> s.address().equals(home)));
     }
 
-    /** Probes must reach every silent host of a long list, one at a time, not the first few again and again. */
+    /** Guards against probes that reach only the first hosts of a long list, and against two probes of one host at
+        once. */
     @Test
     void probesReachAllDownHostsAndNeverTwoAtOnce() {
-        Gateway gateway = new Gateway().start(40);
+        TestGateway gateway = new TestGateway().start(40);
         gateway.serve(2000, 2_000, 2_000);
         loseZone(gateway, 200, Outcome.DIAL_FAILED);
         for (int i = 0; i < 100; i++) {
@@ -123,18 +124,18 @@
         assertEquals(20, down.size());
     }
 
-    private static boolean inLostZone(Gateway.Sent send) {
+    private static boolean inLostZone(TestGateway.Sent send) {
         return Integer.parseInt(send.address().substring(1)) % 2 == 1;
     }
 
-    private static void loseZone(Gateway gateway, int requests, Outcome outcome) {
+    private static void loseZone(TestGateway gateway, int requests, Outcome outcome) {
         gateway.advance(1_500_000);
         for (int i = 0; i < requests; i++) {
             long id = gateway.request(gateway.now);
             gateway.advance(5_000);
-            for (int n = 0; n < gateway.sends(id).size(); n++) {
-                Gateway.Sent send = gateway.sends(id).get(n);
-                gateway.end(send, inLostZone(send) ? outcome : Outcome.DELIVERED, 5_000);
+            for (int n = 0; n < gateway.sendsOf(id).size(); n++) {
+                TestGateway.Sent send = gateway.sendsOf(id).get(n);
+                gateway.endAttempt(send, inLostZone(send) ? outcome : Outcome.DELIVERED, 5_000);
             }
         }
     }
--- a/src/test/java/mastdrift/net/ConnectionLimitTest.java
+++ b/src/test/java/mastdrift/net/ConnectionLimitTest.java
@@ -14,113 +14,117 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Who makes room at the bound on clients' connections. */
+/** Which connection is closed at the limit on client connections. */
 class ConnectionLimitTest {
 
-    private static final Duration ENOUGH = Duration.ofSeconds(Loopback.WAIT_SECONDS);
+    private static final Duration TIMEOUT = Duration.ofSeconds(Loopback.WAIT_SECONDS);
 
-    private final EventLoop loop = Main.loop();
-    private final List<Boolean> accepts = new ArrayList<>();
-    private final ConnectionLimit<Place> limit = new ConnectionLimit<>(loop, 2, accepts::add, () -> { });
+    private final EventLoop loop = Main.newEventLoop();
+    private final List<Boolean> acceptSwitches = new ArrayList<>();
+    private final ConnectionLimit<TestConnection> limit = new ConnectionLimit<>(loop, 2, acceptSwitches::add,
+            () -> { });
 
-    private final class Place implements ConnectionLimit.Held {
+    private final class TestConnection implements ConnectionLimit.Evictable {
 
         private final boolean active;
         private boolean sending;
         private boolean unread;
-        private boolean ended;
+        private boolean closedGracefully;
         private boolean closed;
 
-        Place(boolean active) {
+        TestConnection(boolean active) {
             this.active = active;
-            limit.came(this);
+            limit.add(this);
         }
 
         @Override
-        public boolean sending() {
+        public boolean isSendingRequest() {
             return sending || unread;
         }
 
         @Override
-        public boolean unread() {
+        public boolean hasUnprocessedInput() {
             return unread;
         }
 
         @Override
-        public void end() {
+        public void closeGracefully() {
             if (active) {
-                ended = true;
-                limit.lingers(this);
+                closedGracefully = true;
+                limit.startedLingering(this);
             }
         }
 
         @Override
         public void close() {
             closed = true;
-            loop.execute(() -> limit.gone(this));  // behind the turn, as channels tell
+            loop.execute(() -> limit.remove(this));  // after this turn of the loop, as channels report their close
         }
     }
 
     @AfterEach
-    void end() {
+    void shutDownLoop() {
         loop.parent().shutdownGracefully(0, 0, TimeUnit.SECONDS).syncUninterruptibly();
     }
 
-    private Place came(boolean active) throws Exception {
-        return loop.submit(() -> new Place(active)).get();
+    private TestConnection addConnection(boolean active) throws Exception {
+        return loop.submit(() -> new TestConnection(active)).get();
     }
 
-    private void until(Callable<Boolean> holds) {
-        assertTimeoutPreemptively(ENOUGH, () -> {
-            while (!loop.submit(holds).get()) {
+    private void awaitCondition(Callable<Boolean> condition) {
+        assertTimeoutPreemptively(TIMEOUT, () -> {
+            while (!loop.submit(condition).get()) {
                 Thread.onSpinWait();
             }
         });
     }
 
-    /** Guards against a loop that never ends over a connection that has ended by itself and is not gone yet. */
+    /** Guards against an endless loop over a connection that has closed by itself and has not been removed yet. */
     @Test
-    void whoHasEndedByItselfIsNotMetAgain() throws Exception {
-        Place next = loop.submit(() -> List.of(new Place(false), new Place(true), new Place(true))).get().get(1);
-        until(() -> next.ended);
-        assertEquals(true, loop.submit(() -> accepts.get(accepts.size() - 1)).get());
+    void doesNotChooseClosedConnectionTwice() throws Exception {
+        TestConnection oldest = loop.submit(() -> List.of(new TestConnection(false), new TestConnection(true),
+                new TestConnection(true))).get().get(1);
+        awaitCondition(() -> oldest.closedGracefully);
+        assertEquals(true, loop.submit(() -> acceptSwitches.get(acceptSwitches.size() - 1)).get());
     }
 
     @Test
-    void whoIsSendingOrHasNotBeenLookedAtGoesLast() throws Exception {
-        Place unread = came(true);
-        Place sending = came(true);
-        Place third = loop.submit(() -> {
+    void evictsSendingAndUnreadConnectionsLast() throws Exception {
+        TestConnection unread = addConnection(true);
+        TestConnection sending = addConnection(true);
+        TestConnection third = loop.submit(() -> {
             unread.unread = true;
             sending.sending = true;
-            return new Place(true);
+            return new TestConnection(true);
         }).get();
-        until(() -> third.ended);
-        assertFalse(unread.ended || sending.ended);
-        came(true);
-        assertTrue(third.closed);  // who has been ended leaves to the next
+        awaitCondition(() -> third.closedGracefully);
+        assertFalse(unread.closedGracefully || sending.closedGracefully);
+        addConnection(true);
+        assertTrue(third.closed);  // a connection in a lingering close is replaced by the next new one
     }
 
-    /** Guards against a newcomer that is ended before its client has had the time to write, though others rest. */
+    /** Guards against closing a new connection before its client has had the time to write, though others are idle. */
     @Test
-    void whoHasAskedBeforeMakesRoomForTheNewcomer() throws Exception {
-        List<Place> rested = loop.submit(() -> List.of(new Place(true), new Place(true))).get();
-        Place newcomer = loop.submit(() -> {
-            rested.forEach(limit::asked);
-            rested.forEach(limit::rests);
-            return new Place(true);
+    void evictsIdleConnectionBeforeTheNewest() throws Exception {
+        List<TestConnection> idle = loop.submit(() -> List.of(new TestConnection(true), new TestConnection(true)))
+                .get();
+        TestConnection newcomer = loop.submit(() -> {
+            idle.forEach(limit::requestReceived);
+            idle.forEach(limit::becameIdle);
+            return new TestConnection(true);
         }).get();
-        until(() -> rested.get(0).ended || newcomer.ended);
-        assertFalse(newcomer.ended || rested.get(1).ended);
+        awaitCondition(() -> idle.get(0).closedGracefully || newcomer.closedGracefully);
+        assertFalse(newcomer.closedGracefully || idle.get(1).closedGracefully);
     }
 
-    /** Guards against descriptors that run out under a flood: several who come in one turn each take the place of another of
-        those that linger. */
+    /** Guards against running out of descriptors under a flood of connections: several that come in one turn of the
+        loop each replace another lingering one. */
     @Test
-    void newcomersOfOneTurnCloseAsManyWhoLinger() throws Exception {
-        List<Place> first = loop.submit(() -> List.of(new Place(true), new Place(true), new Place(true), new Place(true))).get();
-        until(() -> first.stream().filter(place -> place.ended).count() == 2);
-        loop.submit(() -> List.of(new Place(true), new Place(true))).get();
+    void newConnectionsOfOneTurnEachReplaceALingeringOne() throws Exception {
+        List<TestConnection> first = loop.submit(() -> List.of(new TestConnection(true), new TestConnection(true),
+                new TestConnection(true), new TestConnection(true))).get();
+        awaitCondition(() -> first.stream().filter(place -> place.closedGracefully).count() == 2);
+        loop.submit(() -> List.of(new TestConnection(true), new TestConnection(true))).get();
         assertEquals(2, first.stream().filter(place -> place.closed).count());
     }
 }
