--- a/src/test/java/mastdrift/net/EndingsTest.java
+++ b/src/test/java/mastdrift/net/EndingsTest.java
@@ -1,15 +1,15 @@
 package mastdrift.net;
 
 import static mastdrift.net.Loopback.SETTINGS;
-import static mastdrift.net.Loopback.answer;
+import static mastdrift.net.Loopback.response;
 import static mastdrift.net.Loopback.await;
-import static mastdrift.net.Loopback.discovery;
-import static mastdrift.net.Loopback.entry;
+import static mastdrift.net.Loopback.discoveryServer;
+import static mastdrift.net.Loopback.hostEntry;
 import static mastdrift.net.Loopback.environment;
-import static mastdrift.net.Loopback.list;
+import static mastdrift.net.Loopback.hostList;
 import static mastdrift.net.Loopback.post;
 import static mastdrift.net.Loopback.read;
-import static mastdrift.net.Loopback.tell;
+import static mastdrift.net.Loopback.sendListLine;
 import static mastdrift.net.Loopback.write;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -30,9 +30,9 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
-import mastdrift.net.Loopback.LateHost;
+import mastdrift.net.Loopback.FullBacklogHost;
 import mastdrift.net.Loopback.Message;
-import mastdrift.net.Loopback.Node;
+import mastdrift.net.Loopback.GatewayNode;
 import mastdrift.net.Loopback.Server;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -40,129 +40,130 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What is owed in the instant in which a process, a connection, an attempt, a list or a client ends. */
+/** Requests that are in progress when a process, a connection, an attempt, a list or a client ends. */
 class EndingsTest {
 
     @TempDir
     private Path folder;
 
-    private static String up(String uid, String address) {
-        return entry(uid, address, "a", "in_service");
+    private static String inService(String uid, String address) {
+        return hostEntry(uid, address, "a", "in_service");
     }
 
-    private Node node(Server discovery, String settings, String... entries) throws Exception {
-        return new Node(environment(folder, discovery, list(1, true, entries), settings));
+    private GatewayNode startNode(Server discovery, String settings, String... entries) throws Exception {
+        return new GatewayNode(environment(folder, discovery, hostList(1, true, entries), settings));
     }
 
-    private static void until(BooleanSupplier holds) throws InterruptedException {
+    private static void awaitCondition(BooleanSupplier condition) throws InterruptedException {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(Loopback.WAIT_SECONDS);
-        while (!holds.getAsBoolean()) {
-            assertTrue(System.nanoTime() < end, "never came about");
+        while (!condition.getAsBoolean()) {
+            assertTrue(System.nanoTime() < end, "not within the timeout");
             Thread.sleep(5);
         }
     }
 
-    private static void untilLogged(Node node, String text) throws InterruptedException {
-        until(() -> node.log.toString(StandardCharsets.UTF_8).contains(text));
+    private static void awaitLogged(GatewayNode node, String text) throws InterruptedException {
+        awaitCondition(() -> node.log.toString(StandardCharsets.UTF_8).contains(text));
     }
 
-    /** Every exchange has ended once, and nothing is held for it. */
-    private static void assertNothingIsOwed(Node node) throws Exception {
-        until(() -> {
+    /** Waits until all exchanges have ended and no resources are held for them. */
+    private static void awaitIdle(GatewayNode node) throws Exception {
+        awaitCondition(() -> {
             try {
-                return node.loop.submit(() -> node.clients.gateway().owesNothing() && node.clients.holdsNothing()).get();
+                return node.loop.submit(() -> node.server.gateway().isIdle() && node.server.hasNoReadAheadData()).get();
             } catch (Exception e) {
                 throw new AssertionError(e);
             }
         });
     }
 
-    /** Guards against a second effect: the idempotency window is looked at when a further attempt is decided, and the
-        connection for it may come up after the window. */
+    /** Guards against a second execution: a retry is decided within the deduplication window, but its connection may be
+        established after the window. */
     @Test
-    void aFurtherAttemptIsNotWrittenOnceItsWindowIsOver() throws Exception {
+    void doesNotRetryAfterTheDeduplicationWindow() throws Exception {
         String settings = SETTINGS.replace("\"dedup_window\":60000000", "\"dedup_window\":5000000");
-        try (Server discovery = discovery(); Server first = new Server(message -> { }); LateHost late = new LateHost();
-                Node node = node(discovery, settings, up("s1", first.address()))) {
+        try (Server discovery = discoveryServer(); Server first = new Server(message -> { });
+                FullBacklogHost fullHost = new FullBacklogHost();
+                GatewayNode node = startNode(discovery, settings, inService("s1", first.address()))) {
             Socket client = node.connect();
             write(client, post("start", 20_000, "x"));
-            Message taken = await(first.received);
-            tell(await(discovery.received).socket(), list(2, false, up("s2", late.address())));
-            untilLogged(node, "list 2");
-            taken.socket().close();  // it may have run
-            until(() -> counted(node, Tally.Count.HOST_DIALS) == 2);
-            node.jump(5_000);
-            assertEquals(-1, late.open().getInputStream().read());
+            Message firstAttempt = await(first.received);
+            sendListLine(await(discovery.received).socket(), hostList(2, false, inService("s2", fullHost.address())));
+            awaitLogged(node, "list 2");
+            firstAttempt.socket().close();  // the request may have run
+            awaitCondition(() -> count(node, GatewayMetrics.Counter.HOST_DIALS) == 2);
+            node.advanceClock(5_000);
+            assertEquals(-1, fullHost.acceptConnections().getInputStream().read());
             assertEquals(502, Loopback.read(client).status());
-            assertNothingIsOwed(node);
+            awaitIdle(node);
         }
     }
 
-    /** Guards against work for nobody: a request whose client has left while its first connection was coming up is not
-        written on it, whether or not the settings let attempts be called off. */
+    /** Guards against wasted work: a request whose client disconnects while the first connection to a host is being
+        established is not sent on it, whether or not the settings let attempts be cancelled. */
     @ParameterizedTest
     @CsvSource({"true, false", "true, true", "false, false", "false, true"})
-    void whatAClientLeftBehindIsNotSentOn(boolean cancel, boolean reset) throws Exception {
+    void doesNotSendRequestOfDisconnectedClient(boolean cancel, boolean reset) throws Exception {
         String settings = SETTINGS.replace("\"cancel\":true", "\"cancel\":" + cancel)
                 .replace("\"dial_timeout\":20000000", "\"dial_timeout\":600000000");
-        try (Server discovery = discovery(); LateHost late = new LateHost();
-                Node node = node(discovery, settings, up("s1", late.address()))) {
+        try (Server discovery = discoveryServer(); FullBacklogHost fullHost = new FullBacklogHost();
+                GatewayNode node = startNode(discovery, settings, inService("s1", fullHost.address()))) {
             Socket client = node.connect();
             write(client, read(60_000));
-            until(() -> counted(node, Tally.Count.HOST_DIALS) == 1);
+            awaitCondition(() -> count(node, GatewayMetrics.Counter.HOST_DIALS) == 1);
             if (reset) {
                 client.setSoLinger(true, 0);
             }
             client.close();
-            until(() -> counted(node, Tally.Count.DEPARTED) == 1);
-            assertNothingIsOwed(node);  // the connection is not waited for either
-            assertEquals(0, counted(node, Tally.Count.ATTEMPTS_WRITTEN));
+            awaitCondition(() -> count(node, GatewayMetrics.Counter.DEPARTED) == 1);
+            awaitIdle(node);  // without waiting for the connection
+            assertEquals(0, count(node, GatewayMetrics.Counter.ATTEMPTS_WRITTEN));
         }
     }
 
-    /** The same while reading pauses, since more of a long body has come than is held before there is a connection for it;
-        and for what waits behind a request that is out. */
+    /** The same while reading is paused because more of a long body has arrived than is buffered before there is a
+        connection to a host. */
     @ParameterizedTest
     @CsvSource({"100000, true", "100000, false", "600000, true", "600000, false"})
-    void whatAClientLeftBehindIsNotSentOnThoughReadingPauses(int length, boolean reset) throws Exception {
+    void noticesDisconnectWhileReadingIsPaused(int length, boolean reset) throws Exception {
         String settings = SETTINGS.replace("\"dial_timeout\":20000000", "\"dial_timeout\":600000000");
-        try (Server discovery = discovery(); LateHost late = new LateHost();
-                Node node = node(discovery, settings, up("s1", late.address()))) {
+        try (Server discovery = discoveryServer(); FullBacklogHost fullHost = new FullBacklogHost();
+                GatewayNode node = startNode(discovery, settings, inService("s1", fullHost.address()))) {
             Socket client = node.connect();
-            write(client, post("start", 60_000, "x".repeat(length)).substring(0, length));  // its end is missing
-            until(() -> counted(node, Tally.Count.HOST_DIALS) == 1);
+            write(client, post("start", 60_000, "x".repeat(length)).substring(0, length));  // without its end
+            awaitCondition(() -> count(node, GatewayMetrics.Counter.HOST_DIALS) == 1);
             if (reset) {
                 client.setSoLinger(true, 0);
             }
             client.close();
-            until(() -> counted(node, Tally.Count.DEPARTED) == 1);
-            assertNothingIsOwed(node);
-            assertEquals(0, counted(node, Tally.Count.ATTEMPTS_WRITTEN));
+            awaitCondition(() -> count(node, GatewayMetrics.Counter.DEPARTED) == 1);
+            awaitIdle(node);
+            assertEquals(0, count(node, GatewayMetrics.Counter.ATTEMPTS_WRITTEN));
         }
     }
 
     @Test
-    void whatWaitsBehindARequestThatIsOutGoesWithItsClient() throws Exception {
-        try (Server discovery = discovery(); Server host = new Server(message -> { });
-                Node node = node(discovery, SETTINGS, up("s1", host.address()))) {
+    void dropsPipelinedRequestsOfDisconnectedClient() throws Exception {
+        try (Server discovery = discoveryServer(); Server host = new Server(message -> { });
+                GatewayNode node = startNode(discovery, SETTINGS, inService("s1", host.address()))) {
             Socket client = node.connect();
             write(client, read(20_000) + read(20_000).replace("9b1f", "9b20"));
             await(host.received);
             client.close();
-            until(() -> counted(node, Tally.Count.DEPARTED) == 1);
-            assertNothingIsOwed(node);
-            assertEquals(1, counted(node, Tally.Count.TAKEN));
-            assertEquals(1, counted(node, Tally.Count.ATTEMPTS_WRITTEN));
+            awaitCondition(() -> count(node, GatewayMetrics.Counter.DEPARTED) == 1);
+            awaitIdle(node);
+            assertEquals(1, count(node, GatewayMetrics.Counter.TAKEN));
+            assertEquals(1, count(node, GatewayMetrics.Counter.ATTEMPTS_WRITTEN));
         }
     }
 
-    /** Guards against a further attempt for a client that has left while many of its requests wait behind the one that is
-        out, so that reading pauses. */
+    /** Guards against a disconnect that goes unnoticed because reading is paused: many pipelined requests wait behind
+        one that is at a host. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void whoLeavesBehindManyRequestsIsMissedWhileTheFirstIsOut(boolean reset) throws Exception {
-        try (Server discovery = discovery(); Server host = new Server(message -> { });
-                Node node = node(discovery, SETTINGS, up("s1", host.address()))) {
+    void noticesDisconnectBehindManyPipelinedRequests(boolean reset) throws Exception {
+        try (Server discovery = discoveryServer(); Server host = new Server(message -> { });
+                GatewayNode node = startNode(discovery, SETTINGS, inService("s1", host.address()))) {
             Socket client = node.connect();
             write(client, read(20_000));
             await(host.received);
@@ -175,50 +176,50 @@
                 client.setSoLinger(true, 0);
             }
             client.close();
-            until(() -> counted(node, Tally.Count.DEPARTED) == 1);
-            assertNothingIsOwed(node);
-            assertEquals(1, counted(node, Tally.Count.ATTEMPTS_WRITTEN));
+            awaitCondition(() -> count(node, GatewayMetrics.Counter.DEPARTED) == 1);
+            awaitIdle(node);
+            assertEquals(1, count(node, GatewayMetrics.Counter.ATTEMPTS_WRITTEN));
         }
     }
 
-    /** Holds the gateway's loop still while something happens outside. */
-    private interface Outside {
-        void happens() throws Exception;
+    /** What happens while the gateway's event loop is blocked. */
+    private interface Action {
+        void run() throws Exception;
     }
 
-    private static void whileStill(Node node, Outside outside) throws Exception {
-        CountDownLatch held = new CountDownLatch(1);
-        CountDownLatch goOn = new CountDownLatch(1);
+    private static void whileLoopBlocked(GatewayNode node, Action action) throws Exception {
+        CountDownLatch blocked = new CountDownLatch(1);
+        CountDownLatch resume = new CountDownLatch(1);
         node.loop.execute(() -> {
-            held.countDown();
+            blocked.countDown();
             try {
-                goOn.await();
+                resume.await();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
         });
-        held.await();
+        blocked.await();
         try {
-            outside.happens();
+            action.run();
         } finally {
-            goOn.countDown();
+            resume.countDown();
         }
     }
 
-    /** Guards against attempts for clients that have been gone for long when their requests are read: the program may be
-        late, with a request or several, and the departures behind them, in the sockets. */
+    /** Guards against attempts for clients that have disconnected before their requests are read: if the event loop is
+        late, both the requests and the disconnects wait in the sockets. */
     @ParameterizedTest
     @CsvSource({"1, true", "1, false", "3, true", "3, false"})
-    void whoHaveGoneByTheTimeTheirRequestsAreReadAreNotSentOn(int most, boolean reset) throws Exception {
-        try (Server discovery = discovery(); Server host = Loopback.host("one");
-                Node node = node(discovery, SETTINGS, up("s1", host.address()))) {
+    void doesNotSendRequestsReadTogetherWithTheDisconnect(int clientCount, boolean reset) throws Exception {
+        try (Server discovery = discoveryServer(); Server host = Loopback.hostResponding("one");
+                GatewayNode node = startNode(discovery, SETTINGS, inService("s1", host.address()))) {
             List<Socket> clients = new ArrayList<>();
-            for (int i = 0; i < most; i++) {
+            for (int i = 0; i < clientCount; i++) {
                 clients.add(node.connect());
                 write(clients.get(i), "GET /ready HTTP/1.1\r\n\r\n");
                 assertEquals(200, Loopback.read(clients.get(i)).status());
             }
-            whileStill(node, () -> {
+            whileLoopBlocked(node, () -> {
                 for (Socket client : clients) {
                     write(client, read(20_000).replace("9b1f", "a" + client.getLocalPort()));
                     if (reset) {
@@ -227,323 +228,329 @@
                     client.close();
                 }
             });
-            assertEquals(200, node.ask("GET /ready HTTP/1.1\r\n\r\n").status());  // all that lay there has been read
-            assertNothingIsOwed(node);
-            assertEquals(0, counted(node, Tally.Count.TAKEN));
+            // All that waited in the sockets has been read.
+            assertEquals(200, node.sendRequest("GET /ready HTTP/1.1\r\n\r\n").status());
+            awaitIdle(node);
+            assertEquals(0, count(node, GatewayMetrics.Counter.TAKEN));
             assertEquals(0, host.received.size());
         }
     }
 
-    private Node wideNode(Server discovery, String... entries) throws Exception {
-        Map<String, String> environment = environment(folder, discovery, list(1, true, entries), SETTINGS);
+    private GatewayNode startNodeWithManyConnections(Server discovery, String... entries) throws Exception {
+        Map<String, String> environment = environment(folder, discovery, hostList(1, true, entries), SETTINGS);
         Path file = Path.of(environment.get("NODE_CONFIG"));
         Files.writeString(file, Files.readString(file).replace("\"sockets\":64", "\"sockets\":256"));
-        return new Node(environment);
+        return new GatewayNode(environment);
     }
 
-    /** Guards against connections that the system has accepted, with requests written on them, and that are reset since
-        the listening socket closes before the program has come to them. */
+    /** Guards against resetting connections that wait in the accept queue, with requests on them, when the listening
+        socket is closed. */
     @Test
-    void aStopTakesWhatTheSystemHasAccepted() throws Exception {
+    void shutdownServesConnectionsInTheAcceptQueue() throws Exception {
         CountDownLatch stopped = new CountDownLatch(1);
-        try (Server discovery = discovery(); Server host = Loopback.host("one");
-                Node node = wideNode(discovery, up("s1", host.address()))) {
+        try (Server discovery = discoveryServer(); Server host = Loopback.hostResponding("one");
+                GatewayNode node = startNodeWithManyConnections(discovery, inService("s1", host.address()))) {
             List<Socket> clients = new ArrayList<>();
-            node.loop.submit(() -> node.clients.stop(stopped::countDown)).sync();
-            whileStill(node, () -> {
-                for (int i = 0; i < 40; i++) {  // more than are accepted in a turn
+            node.loop.submit(() -> node.server.stop(stopped::countDown)).sync();
+            whileLoopBlocked(node, () -> {
+                for (int i = 0; i < 40; i++) {  // more than are accepted in a turn of the loop
                     Socket client = node.connect();
                     write(client, read(20_000).replace("9b1f", "a" + i));
                     clients.add(client);
                 }
-                Thread.sleep(ClientSide.STOP_ACCEPTING_MILLIS);  // the close is due by now
+                Thread.sleep(DownstreamServer.SHUTDOWN_ACCEPT_MILLIS);  // the listening socket is due to be closed now
             });
             for (Socket client : clients) {
-                assertEquals("one", Loopback.read(client).text());
+                assertEquals("one", Loopback.read(client).bodyText());
             }
             assertTrue(stopped.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS));
-            assertNothingIsOwed(node);
+            awaitIdle(node);
         }
     }
 
-    /** Guards against a newcomer that makes room for the next one before its request, which lies in its socket, has been
-        looked at. */
+    /** Guards against closing a new connection at the limit before its request, which waits in its socket, has been
+        read. */
     @Test
-    void whoHasJustComeMakesNoRoomUnheard() throws Exception {
-        try (Server discovery = discovery(); Server host = Loopback.host("one");
-                Node node = node(discovery, SETTINGS, up("s1", host.address()))) {
+    void doesNotEvictNewConnectionBeforeItsFirstRead() throws Exception {
+        try (Server discovery = discoveryServer(); Server host = Loopback.hostResponding("one");
+                GatewayNode node = startNode(discovery, SETTINGS, inService("s1", host.address()))) {
             List<Socket> clients = new ArrayList<>();
-            whileStill(node, () -> {
-                for (int i = 0; i < 14; i++) {  // 64 descriptors leave 8 to clients
+            whileLoopBlocked(node, () -> {
+                for (int i = 0; i < 14; i++) {  // 64 descriptors allow 8 client connections
                     Socket client = node.connect();
                     write(client, read(20_000).replace("9b1f", "a" + i));
                     clients.add(client);
                 }
             });
             for (Socket client : clients) {
-                assertNotNull(Loopback.read(client), "closed with no answer");  // of 8 places, 7 are for requests
+                // 7 of 8 connections may have open requests.
+                assertNotNull(Loopback.read(client), "closed without a response");
             }
-            assertNothingIsOwed(node);
+            awaitIdle(node);
         }
     }
 
-    /** Guards against clients that wait in the system's queue, their time running, while all places are taken: an eighth
-        of the places is beyond the requests that are held, so that whoever comes is answered, and nobody who waits for an
-        answer makes room. */
+    /** Guards against clients that wait in the accept queue, their time running, while all connections are in use: an
+        eighth of the connections is left beyond the open requests, so that further clients are refused and no
+        connection with an open request is closed. */
     @Test
-    void atTheBoundWhoComesIsAnswered() throws Exception {
-        try (Server discovery = discovery(); Server host = new Server(message -> { });
-                Node node = node(discovery, SETTINGS, up("s1", host.address()))) {
+    void refusesFurtherRequestsAtTheConnectionLimit() throws Exception {
+        try (Server discovery = discoveryServer(); Server host = new Server(message -> { });
+                GatewayNode node = startNode(discovery, SETTINGS, inService("s1", host.address()))) {
             List<Socket> busy = new ArrayList<>();
-            List<Message> out = new ArrayList<>();
-            for (int i = 0; i < 7; i++) {  // of 8 places, 7 are for requests
+            List<Message> forwarded = new ArrayList<>();
+            for (int i = 0; i < 7; i++) {  // 7 of 8 connections may have open requests
                 busy.add(node.connect());
                 write(busy.get(i), read(20_000).replace("9b1f", "a" + i));
-                out.add(await(host.received));
+                forwarded.add(await(host.received));
             }
-            for (int i = 0; i < 30; i++) {  // none of whom leaves
+            for (int i = 0; i < 30; i++) {  // none of which disconnects
                 Socket client = node.connect();
                 write(client, read(20_000).replace("9b1f", "b" + i));
                 assertEquals(503, Loopback.read(client).status());
             }
-            for (Message taken : out) {
-                write(taken.socket(), answer("200 OK", "one"));
+            for (Message taken : forwarded) {
+                write(taken.socket(), response("200 OK", "one"));
             }
             for (Socket client : busy) {
-                assertEquals("one", Loopback.read(client).text());
+                assertEquals("one", Loopback.read(client).bodyText());
             }
-            assertNothingIsOwed(node);
+            awaitIdle(node);
         }
     }
 
-    /** Guards against a reset over what a client that is still sending sends, at the end of a stop. */
+    /** Guards against resetting a client that is still sending at the end of a shutdown. */
     @Test
-    void aStopEndsWhoIsStillSendingInOrder() throws Exception {
+    void shutdownDoesNotResetClientThatIsSending() throws Exception {
         CountDownLatch stopped = new CountDownLatch(1);
-        try (Server discovery = discovery(); Server host = Loopback.host("one");
-                Node node = node(discovery, SETTINGS.replace("\"deadline\":60000000", "\"deadline\":1000000"),
-                        up("s1", host.address()))) {
+        try (Server discovery = discoveryServer(); Server host = Loopback.hostResponding("one");
+                GatewayNode node = startNode(discovery,
+                        SETTINGS.replace("\"deadline\":60000000", "\"deadline\":1000000"),
+                        inService("s1", host.address()))) {
             Socket client = node.connect();
             write(client, post("start", 60_000, "x".repeat(1_000)).substring(0, 600));
-            node.loop.execute(() -> node.clients.stop(stopped::countDown));
+            node.loop.execute(() -> node.server.stop(stopped::countDown));
             assertEquals(-1, client.getInputStream().read());
-            for (int i = 0; i < 20; i++) {  // a reset would come back, and be told by the next write
+            for (int i = 0; i < 20; i++) {  // after a reset, the next write would fail
                 write(client, "x");
                 Thread.sleep(5);
             }
             client.close();
             assertTrue(stopped.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS));
-            assertNothingIsOwed(node);
+            awaitIdle(node);
         }
     }
 
-    /** Guards against a client that is pushed out in the midst of its request while others rest. */
+    /** Guards against closing a connection in the midst of its request while others are idle. */
     @Test
-    void whoIsSendingARequestDoesNotMakeRoomWhileOthersRest() throws Exception {
-        try (Server discovery = discovery(); Server host = Loopback.host("one");
-                Node node = node(discovery, SETTINGS, up("s1", host.address()))) {
+    void evictsIdleConnectionBeforeOneThatIsSending() throws Exception {
+        try (Server discovery = discoveryServer(); Server host = Loopback.hostResponding("one");
+                GatewayNode node = startNode(discovery, SETTINGS, inService("s1", host.address()))) {
             Socket sending = node.connect();
             write(sending, read(20_000) + read(20_000).substring(0, 40));
-            assertEquals("one", Loopback.read(sending).text());
-            Socket resting = node.connect();
-            write(resting, read(20_000));
-            assertEquals("one", Loopback.read(resting).text());
-            for (int i = 0; i < 6; i++) {  // 64 descriptors leave 8 to clients
+            assertEquals("one", Loopback.read(sending).bodyText());
+            Socket idle = node.connect();
+            write(idle, read(20_000));
+            assertEquals("one", Loopback.read(idle).bodyText());
+            for (int i = 0; i < 6; i++) {  // 64 descriptors allow 8 client connections
                 Socket other = node.connect();
                 write(other, read(20_000));
-                assertEquals("one", Loopback.read(other).text());
+                assertEquals("one", Loopback.read(other).bodyText());
             }
             Socket newcomer = node.connect();
             write(newcomer, read(20_000));
-            assertEquals("one", Loopback.read(newcomer).text());
-            assertEquals(-1, resting.getInputStream().read());
+            assertEquals("one", Loopback.read(newcomer).bodyText());
+            assertEquals(-1, idle.getInputStream().read());
             write(sending, read(20_000).substring(40));
-            assertEquals("one", Loopback.read(sending).text());
+            assertEquals("one", Loopback.read(sending).bodyText());
         }
     }
 
-    /** Reads up to a text that the peer is known to send. */
-    private static void readTo(Socket socket, String text) throws IOException {
-        StringBuilder got = new StringBuilder();
-        while (got.indexOf(text) < 0) {
+    /** Reads up to a text that the peer will send. */
+    private static void readUntil(Socket socket, String text) throws IOException {
+        StringBuilder received = new StringBuilder();
+        while (received.indexOf(text) < 0) {
             int next = socket.getInputStream().read();
-            assertTrue(next >= 0, got.toString());
-            got.append((char) next);
+            assertTrue(next >= 0, received.toString());
+            received.append((char) next);
         }
     }
 
-    /** Whether nothing is owed any more so much later; measured where what ends it is scheduled, so that a slow machine
-        can't turn the order round. */
-    private static boolean owesNothingAfter(Node node, int millis) throws Exception {
-        return node.loop.schedule(() -> node.clients.gateway().owesNothing(), millis, TimeUnit.MILLISECONDS).get();
+    /** Whether the gateway is idle after that time, measured by a timer of the same event loop that has the deadlines,
+        so that a slow machine does not change the order. */
+    private static boolean isIdleAfter(GatewayNode node, int millis) throws Exception {
+        return node.loop.schedule(() -> node.server.gateway().isIdle(), millis, TimeUnit.MILLISECONDS).get();
     }
 
-    /** Guards against an answer that ends long after its time, or never: its first pieces were passed on since its length
-        is not told, and then the host hangs. The client can tell that it is no whole. */
+    /** Guards against a response that ends long after its deadline, or never: it is streamed since its length is
+        unknown, and then the host hangs. The client must see that it is incomplete. */
     @Test
-    void anAnswerThatHangsOnItsWayEndsWithItsDeadline() throws Exception {
-        CountDownLatch seen = new CountDownLatch(1);
-        BlockingQueue<String> hangs = new LinkedBlockingQueue<>();
-        try (Server discovery = discovery(); Server host = new Server(message -> {
+    void endsStalledResponseAtItsDeadline() throws Exception {
+        CountDownLatch clientReceived = new CountDownLatch(1);
+        BlockingQueue<String> stalls = new LinkedBlockingQueue<>();
+        try (Server discovery = discoveryServer(); Server host = new Server(message -> {
             write(message.socket(), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-            while (!seen.await(20, TimeUnit.MILLISECONDS)) {
+            while (!clientReceived.await(20, TimeUnit.MILLISECONDS)) {
                 write(message.socket(), "1\r\nx\r\n");
             }
-            hangs.add("now");
-        }); Node node = node(discovery, SETTINGS, up("s1", host.address()))) {
+            stalls.add("now");
+        }); GatewayNode node = startNode(discovery, SETTINGS, inService("s1", host.address()))) {
             Socket client = node.connect();
             write(client, read(1_500));
-            readTo(client, "x");
-            seen.countDown();
-            await(hangs);
-            assertTrue(owesNothingAfter(node, 2_500));
+            readUntil(client, "x");
+            clientReceived.countDown();
+            await(stalls);
+            assertTrue(isIdleAfter(node, 2_500));
             byte[] rest = client.getInputStream().readAllBytes();
             assertFalse(new String(rest, StandardCharsets.ISO_8859_1).endsWith("\r\n0\r\n\r\n"));
         }
     }
 
-    /** Guards against an end that cuts off what the host still gives: of a long answer the first bytes are timed. */
+    /** Guards against cutting off a long response that the host is still sending: only its first bytes have a deadline.
+        */
     @Test
-    void aLongAnswerMayGoOnBehindItsDeadline() throws Exception {
-        CountDownLatch seen = new CountDownLatch(1);
-        try (Server discovery = discovery(); Server host = new Server(message -> {
+    void doesNotCutOffLongResponseAtItsDeadline() throws Exception {
+        CountDownLatch checked = new CountDownLatch(1);
+        try (Server discovery = discoveryServer(); Server host = new Server(message -> {
             write(message.socket(), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n20000\r\n"
                     + "x".repeat(0x20000) + "\r\n");
-            seen.await();
+            checked.await();
             write(message.socket(), "1\r\ny\r\n0\r\n\r\n");
-        }); Node node = node(discovery, SETTINGS, up("s1", host.address()))) {
+        }); GatewayNode node = startNode(discovery, SETTINGS, inService("s1", host.address()))) {
             Socket client = node.connect();
             write(client, read(20_000));
-            readTo(client, "x".repeat(1_000));
-            node.jump(20_000);
-            assertFalse(owesNothingAfter(node, 1_000));
-            seen.countDown();
-            readTo(client, "y\r\n0\r\n\r\n");
-            assertNothingIsOwed(node);
+            readUntil(client, "x".repeat(1_000));
+            node.advanceClock(20_000);
+            assertFalse(isIdleAfter(node, 1_000));
+            checked.countDown();
+            readUntil(client, "y\r\n0\r\n\r\n");
+            awaitIdle(node);
         }
     }
 
-    /** Guards against an answer that comes too late since the client's last byte was there long before it was read: reading
-        pauses while a long body has no connection yet, and its client's time runs. */
+    /** Guards against a response after the deadline: reading is paused while a long body waits for a connection, so the
+        last byte is read long after it arrived, and the client's time has been running. */
     @Test
-    void aLongBodyThatWaitedForAConnectionHasNoMoreTimeForThat() throws Exception {
-        try (Server discovery = discovery(); LateHost late = new LateHost();
-                Node node = node(discovery, SETTINGS, up("s1", late.address()))) {
+    void doesNotExtendDeadlineByWaitForConnection() throws Exception {
+        try (Server discovery = discoveryServer(); FullBacklogHost fullHost = new FullBacklogHost();
+                GatewayNode node = startNode(discovery, SETTINGS, inService("s1", fullHost.address()))) {
             Socket client = node.connect();
             write(client, post("start", 20_000, "x".repeat(120_000)));
-            until(() -> counted(node, Tally.Count.HOST_DIALS) == 1);
-            node.jump(15_000);
-            assertEquals(120_000, Loopback.read(late.open()).body().length);
-            assertTrue(owesNothingAfter(node, 7_000));
+            awaitCondition(() -> count(node, GatewayMetrics.Counter.HOST_DIALS) == 1);
+            node.advanceClock(15_000);
+            assertEquals(120_000, Loopback.read(fullHost.acceptConnections()).body().length);
+            assertTrue(isIdleAfter(node, 7_000));
             assertEquals(504, Loopback.read(client).status());
         }
     }
 
-    /** Guards against a part that passes for the whole, at a client of HTTP/1.0, to which only the end tells the length. */
+    /** Guards against a partial response that passes for a complete one at an HTTP/1.0 client, which takes the end of
+        the connection for the end of the body. */
     @Test
-    void anAnswerThatBreaksIsResetWhereItsEndWouldBeItsLength() throws Exception {
-        CountDownLatch seen = new CountDownLatch(1);
-        try (Server discovery = discovery(); Server host = new Server(message -> {
+    void resetsIncompleteResponseToHttp10Client() throws Exception {
+        CountDownLatch clientReceived = new CountDownLatch(1);
+        try (Server discovery = discoveryServer(); Server host = new Server(message -> {
             write(message.socket(), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n20000\r\n"
                     + "x".repeat(0x20000) + "\r\n");
-            seen.await();
+            clientReceived.await();
             message.socket().close();
-        }); Node node = node(discovery, SETTINGS, up("s1", host.address()))) {
+        }); GatewayNode node = startNode(discovery, SETTINGS, inService("s1", host.address()))) {
             Socket client = node.connect();
             write(client, read(20_000).replace("HTTP/1.1", "HTTP/1.0"));
-            readTo(client, "x".repeat(0x20000));
-            seen.countDown();
+            readUntil(client, "x".repeat(0x20000));
+            clientReceived.countDown();
             assertThrows(IOException.class, () -> client.getInputStream().read());
-            assertNothingIsOwed(node);
+            awaitIdle(node);
         }
     }
 
-    /** Guards against a close over unread bytes, which resets the connection and may destroy the answer before it: the
-        client goes on sending behind the request that is the last on its connection. */
+    /** Guards against a close with unread input, which resets the connection and may destroy the response: the client
+        goes on sending after the last request on its connection. */
     @Test
-    void aLastAnswerIsFollowedByAnOrderlyEndThoughTheClientStillSends() throws Exception {
-        try (Server discovery = discovery(); Server host = new Server(message -> { });
-                Node node = node(discovery, SETTINGS, up("s1", host.address()))) {
+    void doesNotResetClientThatSendsAfterItsLastResponse() throws Exception {
+        try (Server discovery = discoveryServer(); Server host = new Server(message -> { });
+                GatewayNode node = startNode(discovery, SETTINGS, inService("s1", host.address()))) {
             Socket client = node.connect();
             write(client, read(20_000).replace("Host: s", "Host: s\r\nConnection: close"));
-            Message taken = await(host.received);
-            for (int i = 0; i < 200; i++) {  // more than are read ahead
+            Message forwarded = await(host.received);
+            for (int i = 0; i < 200; i++) {  // more than is read ahead
                 write(client, read(20_000).replace("9b1f", "more" + i));
             }
-            write(taken.socket(), answer("200 OK", "last"));
-            assertEquals("last", Loopback.read(client).text());
+            write(forwarded.socket(), response("200 OK", "last"));
+            assertEquals("last", Loopback.read(client).bodyText());
             assertEquals(-1, client.getInputStream().read());
-            for (int i = 0; i < 20; i++) {  // a reset would come back, and be told by the next write
+            for (int i = 0; i < 20; i++) {  // after a reset, the next write would fail
                 write(client, "more");
                 Thread.sleep(5);
             }
-            assertNothingIsOwed(node);
-            assertEquals(1, counted(node, Tally.Count.TAKEN));
+            awaitIdle(node);
+            assertEquals(1, count(node, GatewayMetrics.Counter.TAKEN));
         }
     }
 
-    /** Guards against a request that is read behind the shutdown and sent on: its client has heard that it ended. */
+    /** Guards against handling a request that is read after the output was shut down: its client has seen the end. */
     @Test
-    void whatComesOnAConnectionThatWasShutIsNotTaken() throws Exception {
+    void doesNotHandleRequestAfterOutputShutdown() throws Exception {
         CountDownLatch stopped = new CountDownLatch(1);
-        try (Server discovery = discovery(); Server host = Loopback.host("one");
-                Node node = node(discovery, SETTINGS, up("s1", host.address()))) {
-            Socket resting = node.connect();
-            write(resting, read(20_000));
-            assertEquals("one", Loopback.read(resting).text());
-            node.loop.execute(() -> node.clients.stop(stopped::countDown));
-            assertEquals(-1, resting.getInputStream().read());
-            write(resting, read(20_000));
+        try (Server discovery = discoveryServer(); Server host = Loopback.hostResponding("one");
+                GatewayNode node = startNode(discovery, SETTINGS, inService("s1", host.address()))) {
+            Socket idle = node.connect();
+            write(idle, read(20_000));
+            assertEquals("one", Loopback.read(idle).bodyText());
+            node.loop.execute(() -> node.server.stop(stopped::countDown));
+            assertEquals(-1, idle.getInputStream().read());
+            write(idle, read(20_000));
             assertTrue(stopped.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS));
-            assertNothingIsOwed(node);
-            assertEquals(1, counted(node, Tally.Count.TAKEN));
+            awaitIdle(node);
+            assertEquals(1, count(node, GatewayMetrics.Counter.TAKEN));
             assertEquals(1, host.received.size());
         }
     }
 
-    /** Guards against requests that were read and are dropped with the connection whose last answer goes out. */
+    /** Guards against dropping pipelined requests that were read before a shutdown closes their connection. */
     @Test
-    void aStopAnswersWhatWasReadBehindTheRequestThatIsOut() throws Exception {
+    void shutdownAnswersPipelinedRequests() throws Exception {
         CountDownLatch stopped = new CountDownLatch(1);
-        try (Server discovery = discovery(); Server host = new Server(message -> { });
-                Node node = node(discovery, SETTINGS, up("s1", host.address()))) {
+        try (Server discovery = discoveryServer(); Server host = new Server(message -> { });
+                GatewayNode node = startNode(discovery, SETTINGS, inService("s1", host.address()))) {
             Socket client = node.connect();
             write(client, read(20_000) + read(20_000).replace("9b1f", "9b20"));
             Message first = await(host.received);
-            Socket resting = node.connect();
-            write(resting, "GET /ready HTTP/1.1\r\n\r\n");
-            assertEquals(200, Loopback.read(resting).status());
-            node.loop.execute(() -> node.clients.stop(stopped::countDown));
-            assertEquals(-1, resting.getInputStream().read());  // what comes now is the last
-            write(first.socket(), answer("200 OK", "first"));
-            assertEquals("first", Loopback.read(client).text());
-            write(await(host.received).socket(), answer("200 OK", "second"));
-            assertEquals("second", Loopback.read(client).text());
+            Socket idle = node.connect();
+            write(idle, "GET /ready HTTP/1.1\r\n\r\n");
+            assertEquals(200, Loopback.read(idle).status());
+            node.loop.execute(() -> node.server.stop(stopped::countDown));
+            assertEquals(-1, idle.getInputStream().read());  // from now on, responses close their connections
+            write(first.socket(), response("200 OK", "first"));
+            assertEquals("first", Loopback.read(client).bodyText());
+            write(await(host.received).socket(), response("200 OK", "second"));
+            assertEquals("second", Loopback.read(client).bodyText());
             assertEquals(-1, client.getInputStream().read());
             assertTrue(stopped.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS));
-            assertNothingIsOwed(node);
+            awaitIdle(node);
         }
     }
 
-    /** Guards against a request that is open at the stop and that the process's own end, or the kill, finds unanswered:
-        it was bound by its own time alone, which may be longer than there is left. */
+    /** Guards against a request that is still open when the process ends or is killed: its own deadline may be later
+        than that. */
     @Test
-    void aStopAnswersWhatIsOpenBeforeTheKill() throws Exception {
+    void shutdownAnswersOpenRequestBeforeTheKill() throws Exception {
         CountDownLatch stopped = new CountDownLatch(1);
-        try (Server discovery = discovery(); Server host = new Server(message -> { });
-                Node node = node(discovery, SETTINGS, up("s1", host.address()))) {
+        try (Server discovery = discoveryServer(); Server host = new Server(message -> { });
+                GatewayNode node = startNode(discovery, SETTINGS, inService("s1", host.address()))) {
             Socket client = node.connect();
             write(client, read(60_000));
             await(host.received);
-            node.loop.submit(() -> node.clients.stop(stopped::countDown)).sync();  // from then on
-            assertTrue(owesNothingAfter(node, (int) (ClientSide.stopAnswered(60_000_000) / 1000)));
+            // The time starts once the shutdown has.
+            node.loop.submit(() -> node.server.stop(stopped::countDown)).sync();
+            assertTrue(isIdleAfter(node, (int) (DownstreamServer.shutdownAnswerMicros(60_000_000) / 1000)));
             assertEquals(504, Loopback.read(client).status());
             assertEquals(-1, client.getInputStream().read());
             assertTrue(stopped.await(Loopback.WAIT_SECONDS, TimeUnit.SECONDS));
         }
     }
 
-    private static long counted(Node node, Tally.Count count) {
-        return node.clients.gateway().tally().sum(count);
+    private static long count(GatewayNode node, GatewayMetrics.Counter count) {
+        return node.server.gateway().tally().count(count);
     }
 }
--- a/src/test/java/mastdrift/net/GatewayTest.java
+++ b/src/test/java/mastdrift/net/GatewayTest.java
@@ -1,9 +1,9 @@
 package mastdrift.net;
 
 import static mastdrift.net.Loopback.SETTINGS;
-import static mastdrift.net.Loopback.discovery;
+import static mastdrift.net.Loopback.discoveryServer;
 import static mastdrift.net.Loopback.environment;
-import static mastdrift.net.Loopback.list;
+import static mastdrift.net.Loopback.hostList;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -34,44 +34,44 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The driver, with a module that a test puts in the place of the real one. */
+/** The gateway with a balancer that the test supplies. */
 class GatewayTest {
 
     @TempDir
     private Path folder;
 
-    private final EventLoop loop = Main.loop();
+    private final EventLoop loop = Main.newEventLoop();
     private final ByteArrayOutputStream log = new ByteArrayOutputStream();
     private final BlockingQueue<String> answers = new LinkedBlockingQueue<>();
     private final List<String> events = new CopyOnWriteArrayList<>();
     private Balancer.Actions actions;
 
-    private boolean present = true;
-    private int looks;
+    private boolean connected = true;
+    private int connectionChecks;
     private final Gateway.Client client = new Gateway.Client() {
         @Override
-        public void served(FullHttpResponse answer) {
+        public void sendResponse(FullHttpResponse answer) {
             answers.add("served");
         }
 
         @Override
-        public void begun(FullHttpResponse answer, Relay rest, Consumer<Boolean> passed) {
+        public void startStreaming(FullHttpResponse answer, BodyRelay rest, Consumer<Boolean> passed) {
             answers.add("begun");
         }
 
         @Override
-        public boolean present() {
-            looks++;
-            return present;
+        public boolean isConnected() {
+            connectionChecks++;
+            return connected;
         }
 
         @Override
-        public void refused(long retryAfter) {
+        public void sendRefusal(long retryAfter) {
             answers.add("refused");
         }
 
         @Override
-        public void failed(boolean late) {
+        public void sendFailure(boolean late) {
             answers.add(late ? "late" : "failed");
         }
     };
@@ -81,89 +81,95 @@
         loop.parent().shutdownGracefully(0, 0, TimeUnit.SECONDS).syncUninterruptibly();
     }
 
-    /** Takes one request with a module that acts so on it. */
-    private void take(long left, BiConsumer<Balancer.Actions, Long> onRequest) throws Exception {
-        Balancer module = (Balancer) Proxy.newProxyInstance(getClass().getClassLoader(),
+    /** Submits one request, on which the balancer acts as given. */
+    private void submit(long timeLeft, BiConsumer<Balancer.Actions, Long> onRequest) throws Exception {
+        Balancer balancer = (Balancer) Proxy.newProxyInstance(getClass().getClassLoader(),
                 new Class<?>[] {Balancer.class}, (proxy, method, arguments) -> {
                     events.add(method.getName());
                     if (method.getName().equals("start")) {
                         actions = (Balancer.Actions) arguments[2];
-                    } else if (method.getName().equals("request")) {
+                    } else if (method.getName().equals("requestReceived")) {
                         onRequest.accept(actions, ((Balancer.Request) arguments[1]).id());
                         events.add("end of request");
                     }
                     return null;
                 });
-        try (Server discovery = discovery()) {
-            Config config = Config.read(environment(folder, discovery, list(1, true), SETTINGS));
-            loop.submit(() -> new Gateway(config, loop, System::nanoTime, module, config.tally(), 8, 8, new PrintStream(log,
-                    true, StandardCharsets.UTF_8)::println).take(client, new DefaultFullHttpRequest(HttpVersion.HTTP_1_1,
-                    HttpMethod.GET, "/api"), null, "read", "acme", null, left, false, 0)).sync();
+        try (Server discovery = discoveryServer()) {
+            Config config = Config.read(environment(folder, discovery, hostList(1, true), SETTINGS));
+            loop.submit(() -> new Gateway(config, loop, System::nanoTime, balancer, config.newMetrics(), 8, 8,
+                    new PrintStream(log, true, StandardCharsets.UTF_8)::println)
+                    .submit(client, new DefaultFullHttpRequest(HttpVersion.HTTP_1_1,
+                    HttpMethod.GET, "/api"), null, "read", "acme", null, timeLeft, false, 0)).sync();
         }
     }
 
-    /** Guards against a gateway that hangs for good after a fault, also where memory ran out, and against a module that
-        goes on counting what has failed. */
+    /** Guards against a gateway that hangs after an exception or a lack of memory in an event, and against a balancer
+        that still counts the request, which has failed. */
     @ParameterizedTest
     @ValueSource(strings = {"module", "memory", "message"})
-    void aFaultIsLoggedAndFailsItsRequest(String where) throws Exception {
-        take(60_000_000, (asked, id) -> {
-            if (where.equals("module")) {
+    void exceptionIsLoggedAndFailsItsRequest(String kind) throws Exception {
+        submit(60_000_000, (balancerActions, id) -> {
+            if (kind.equals("module")) {
                 throw new IllegalStateException("on purpose");
-            } else if (where.equals("memory")) {
+            } else if (kind.equals("memory")) {
                 throw new OutOfMemoryError("on purpose");
             }
-            asked.send(id + 1, "unheard", 1);
+            balancerActions.send(id + 1, "unheard", 1);
         });
         assertEquals("failed", Loopback.await(answers));
-        assertEquals(List.of("start", "hosts", "request", "departed"), awaitEvents(4));
+        assertEquals(List.of("start", "hostListReceived", "requestReceived", "clientLeft"), awaitEvents(4));
         assertTrue(log.toString(StandardCharsets.UTF_8).contains("fault"));
     }
 
-    /** Guards against a request that nobody answers: the backstop does, and the module hears that it is over. */
+    /** Guards against a request without a response: the gateway fails it at its deadline and tells the balancer. */
     @Test
-    void aRequestThatTheModuleForgetsIsFailedInTime() throws Exception {
-        take(50_000, (asked, id) -> { });
+    void failsRequestThatTheBalancerNeverAnswers() throws Exception {
+        submit(50_000, (balancerActions, id) -> { });
         assertEquals("late", Loopback.await(answers));
-        assertEquals(List.of("start", "hosts", "request", "end of request", "departed"), awaitEvents(5));
+        assertEquals(List.of("start", "hostListReceived", "requestReceived", "end of request", "clientLeft"),
+                awaitEvents(5));
     }
 
     @Test
-    void aSecondAnswerIsPassedOverAndNothingIsSentAfterTheFirst() throws Exception {
-        take(60_000_000, (asked, id) -> {
-            asked.send(id, "unknown", 1_000_000);
-            asked.refuse(id, 0);
-            asked.fail(id);
-            asked.send(id, "unknown", 1_000_000);
+    void ignoresActionsAfterTheFinalResponse() throws Exception {
+        submit(60_000_000, (balancerActions, id) -> {
+            balancerActions.send(id, "unknown", 1_000_000);
+            balancerActions.refuse(id, 0);
+            balancerActions.fail(id);
+            balancerActions.send(id, "unknown", 1_000_000);
         });
         assertEquals("refused", Loopback.await(answers));
         awaitEvents(6);
         assertNull(answers.peek());
     }
 
-    /** Guards against an event inside an event: an outcome that is there at once waits, and each send has one. */
+    /** Guards against nested events: an outcome that is known at once is reported after the current event, one per
+        send. */
     @Test
-    void outcomesWaitForTheEndOfTheEventThatCausedThem() throws Exception {
-        take(60_000_000, (asked, id) -> {
-            asked.send(id, "unknown", 1_000_000);
-            asked.send(id, "unknown", 1_000_000);
+    void doesNotNestEvents() throws Exception {
+        submit(60_000_000, (balancerActions, id) -> {
+            balancerActions.send(id, "unknown", 1_000_000);
+            balancerActions.send(id, "unknown", 1_000_000);
         });
-        assertEquals(List.of("start", "hosts", "request", "end of request", "resolved", "resolved"), awaitEvents(6));
+        assertEquals(List.of("start", "hostListReceived", "requestReceived", "end of request", "attemptEnded",
+                "attemptEnded"), awaitEvents(6));
     }
 
-    /** Guards against an attempt for who left while the loop was held up, or ahead of whose end a host's event was met. */
+    /** Guards against an attempt for a client that disconnected while the loop was delayed, or whose disconnect comes
+        after a host's event in the same turn of the loop. */
     @Test
-    void nothingIsSentForWhoHasGoneSinceTheLastLook() throws Exception {
-        present = false;
-        take(60_000_000, (asked, id) -> {
-            long until = System.nanoTime() + TimeUnit.MICROSECONDS.toNanos(2 * Gateway.LOOK_AFTER_MICROS);
+    void doesNotSendForClientThatDisconnectedSinceTheLastCheck() throws Exception {
+        connected = false;
+        submit(60_000_000, (balancerActions, id) -> {
+            long until = System.nanoTime() + TimeUnit.MICROSECONDS.toNanos(2 * Gateway.CLIENT_CHECK_INTERVAL_MICROS);
             while (System.nanoTime() < until) {
                 Thread.onSpinWait();
             }
-            asked.send(id, "unknown", 1_000_000);
+            balancerActions.send(id, "unknown", 1_000_000);
         });
-        assertEquals(List.of("start", "hosts", "request", "end of request", "departed", "resolved"), awaitEvents(6));
-        assertEquals(1, looks);
+        assertEquals(List.of("start", "hostListReceived", "requestReceived", "end of request", "clientLeft",
+                "attemptEnded"), awaitEvents(6));
+        assertEquals(1, connectionChecks);
         assertNull(answers.peek());
     }
 
@@ -174,12 +180,12 @@
         return events;
     }
 
-    /** Guards against sweeps that one fault ends for good: nothing would be closed or told from then on. */
+    /** Guards against a sweep that ends at its first exception: no timeouts would be enforced from then on. */
     @Test
-    void aFaultInAPeriodicTaskIsToldAndTheNextTurnComes() throws Exception {
+    void periodicTaskContinuesAfterAnException() throws Exception {
         BlockingQueue<String> faults = new LinkedBlockingQueue<>();
         CountDownLatch turns = new CountDownLatch(3);
-        Periodic.every(loop, 1_000, () -> {
+        PeriodicTask.schedule(loop, 1_000, () -> {
             turns.countDown();
             throw new OutOfMemoryError("on purpose");
         }, faults::add);
@@ -187,16 +193,16 @@
         assertTrue(Loopback.await(faults).contains("on purpose"));
     }
 
-    /** Guards against a log that leaves an operator guessing where requests went. */
+    /** Guards against counts that are missing in the log, or are logged twice. */
     @Test
-    void theTallyTellsWhatWasCountedOnce() {
-        Tally tally = new Tally(List.of());
-        tally.add(Tally.Count.TAKEN);
-        tally.add(Tally.Count.TAKEN);
-        tally.add(Balancer.Outcome.SHED);
-        tally.level(Tally.Level.OPEN_REQUESTS, 2);
-        tally.level(Tally.Level.OPEN_REQUESTS, 1);
-        assertEquals("counts taken=2; attempts shed=1; most at once open_requests=2", tally.line());
-        assertEquals("", tally.line());
+    void logsEachCountOnce() {
+        GatewayMetrics tally = new GatewayMetrics(List.of());
+        tally.increment(GatewayMetrics.Counter.TAKEN);
+        tally.increment(GatewayMetrics.Counter.TAKEN);
+        tally.increment(Balancer.Outcome.SHED);
+        tally.recordPeak(GatewayMetrics.Peak.OPEN_REQUESTS, 2);
+        tally.recordPeak(GatewayMetrics.Peak.OPEN_REQUESTS, 1);
+        assertEquals("counts taken=2; attempts shed=1; most at once open_requests=2", tally.logLine());
+        assertEquals("", tally.logLine());
     }
 }
--- a/src/test/java/mastdrift/net/LongBodyTest.java
+++ b/src/test/java/mastdrift/net/LongBodyTest.java
@@ -1,13 +1,13 @@
 package mastdrift.net;
 
 import static mastdrift.net.Loopback.SETTINGS;
-import static mastdrift.net.Loopback.answer;
+import static mastdrift.net.Loopback.response;
 import static mastdrift.net.Loopback.await;
-import static mastdrift.net.Loopback.discovery;
-import static mastdrift.net.Loopback.entry;
+import static mastdrift.net.Loopback.discoveryServer;
+import static mastdrift.net.Loopback.hostEntry;
 import static mastdrift.net.Loopback.environment;
-import static mastdrift.net.Loopback.host;
-import static mastdrift.net.Loopback.list;
+import static mastdrift.net.Loopback.hostResponding;
+import static mastdrift.net.Loopback.hostList;
 import static mastdrift.net.Loopback.post;
 import static mastdrift.net.Loopback.read;
 import static mastdrift.net.Loopback.write;
@@ -43,27 +43,28 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import mastdrift.net.Loopback.Message;
-import mastdrift.net.Loopback.Node;
+import mastdrift.net.Loopback.GatewayNode;
 import mastdrift.net.Loopback.Server;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Bodies that are too long to be held: passed on in pieces, both ways, and what that forbids. */
+/** Bodies that are too long to be kept whole: they are streamed, in both directions, and can't be retried. */
 class LongBodyTest {
 
-    private static final int LONG = 3_000_000;
+    private static final int LONG_BODY_BYTES = 3_000_000;
 
     @TempDir
     private Path folder;
 
-    private Node node(Server discovery, Server... hosts) throws Exception {
+    private GatewayNode startNode(Server discovery, Server... hosts) throws Exception {
         List<String> entries = new ArrayList<>();
         for (Server host : hosts) {
-            entries.add(entry("s" + entries.size(), host.address(), "a", "in_service"));
+            entries.add(hostEntry("s" + entries.size(), host.address(), "a", "in_service"));
         }
-        return new Node(environment(folder, discovery, list(1, true, entries.toArray(new String[0])), SETTINGS));
+        return new GatewayNode(environment(folder, discovery, hostList(1, true, entries.toArray(new String[0])),
+                SETTINGS));
     }
 
     private static byte[] bytes(int count) {
@@ -76,15 +77,15 @@
         return post("start", 20_000, "").replaceFirst("Content-Length: 0", framing);
     }
 
-    private static void chunk(OutputStream out, byte[] bytes, int from, int length) throws IOException {
+    private static void writeChunk(OutputStream out, byte[] bytes, int from, int length) throws IOException {
         out.write((Integer.toHexString(length) + ";piece=\"x;y\"\r\n").getBytes(StandardCharsets.US_ASCII));
         out.write(bytes, from, length);
         out.write("\r\n".getBytes(StandardCharsets.US_ASCII));
     }
 
-    private static void chunks(OutputStream out, byte[] bytes, int size) throws IOException {
+    private static void writeChunks(OutputStream out, byte[] bytes, int size) throws IOException {
         for (int from = 0; from < bytes.length; from += size) {
-            chunk(out, bytes, from, Math.min(size, bytes.length - from));
+            writeChunk(out, bytes, from, Math.min(size, bytes.length - from));
         }
         out.write("0\r\nX-Trailer: 1\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
         out.flush();
@@ -92,42 +93,43 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"length", "chunks"})
-    void aLongRequestPassesUnchangedAndItsConnectionIsKept(String framing) throws Exception {
-        byte[] body = bytes(LONG);
-        try (Server discovery = discovery(); Server host = host("taken"); Node node = node(discovery, host)) {
+    void streamsRequestUnchangedAndKeepsConnection(String framing) throws Exception {
+        byte[] body = bytes(LONG_BODY_BYTES);
+        try (Server discovery = discoveryServer(); Server host = hostResponding("taken");
+                GatewayNode node = startNode(discovery, host)) {
             Socket client = node.connect();
             for (int i = 0; i < 2; i++) {
                 if (framing.equals("length")) {
-                    write(client, head("Content-Length: " + LONG));
+                    write(client, head("Content-Length: " + LONG_BODY_BYTES));
                     client.getOutputStream().write(body);
                 } else {
                     write(client, head("Transfer-Encoding: chunked"));
-                    chunks(client.getOutputStream(), body, 70_001);
+                    writeChunks(client.getOutputStream(), body, 70_001);
                 }
-                assertEquals("taken", Loopback.read(client).text());
-                Message got = await(host.received);
-                assertArrayEquals(body, got.body());
-                assertEquals("9b1f", got.header("X-Trace-Id"));
-                assertEquals("5c0f", got.header("Idempotency-Key"));
+                assertEquals("taken", Loopback.read(client).bodyText());
+                Message forwarded = await(host.received);
+                assertArrayEquals(body, forwarded.body());
+                assertEquals("9b1f", forwarded.header("X-Trace-Id"));
+                assertEquals("5c0f", forwarded.header("Idempotency-Key"));
             }
-            assertEquals(1, host.accepted.size());
+            assertEquals(1, host.acceptedConnections.size());
         }
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"length", "chunks"})
-    void aLongAnswerPassesUnchangedAndConnectionsAreKept(String framing) throws Exception {
-        byte[] body = bytes(LONG);
-        try (Server discovery = discovery(); Server host = new Server(message -> {
+    void streamsResponseUnchangedAndKeepsConnections(String framing) throws Exception {
+        byte[] body = bytes(LONG_BODY_BYTES);
+        try (Server discovery = discoveryServer(); Server host = new Server(message -> {
             boolean length = framing.equals("length");
             write(message.socket(), "HTTP/1.1 200 OK\r\nContent-Type: image/png\r\n"
-                    + (length ? "Content-Length: " + LONG : "Transfer-Encoding: chunked") + "\r\n\r\n");
+                    + (length ? "Content-Length: " + LONG_BODY_BYTES : "Transfer-Encoding: chunked") + "\r\n\r\n");
             if (length) {
                 message.socket().getOutputStream().write(body);
             } else {
-                chunks(message.socket().getOutputStream(), body, 999);
+                writeChunks(message.socket().getOutputStream(), body, 999);
             }
-        }); Node node = node(discovery, host)) {
+        }); GatewayNode node = startNode(discovery, host)) {
             Socket client = node.connect();
             for (int i = 0; i < 2; i++) {
                 write(client, read(20_000));
@@ -136,23 +138,24 @@
                 assertEquals("image/png", answer.header("Content-Type"));
                 assertArrayEquals(body, answer.body());
             }
-            assertEquals(1, host.accepted.size());
+            assertEquals(1, host.acceptedConnections.size());
         }
     }
 
-    /** Guards against a long answer that is held back: its first bytes count, and its length may not be told. */
+    /** Guards against a long response that is held back: its first bytes have a deadline, and its length may be
+        unknown. */
     @ParameterizedTest
     @ValueSource(strings = {"Content-Length: 70000", "Transfer-Encoding: chunked"})
-    void anAnswerThatMayBeLongIsPassedOnBeforeItsEnd(String framing) throws Exception {
-        CountDownLatch seen = new CountDownLatch(1);
+    void streamsLongResponseBeforeItsEnd(String framing) throws Exception {
+        CountDownLatch clientReceived = new CountDownLatch(1);
         boolean chunked = framing.contains("chunked");
-        try (Server discovery = discovery(); Server host = new Server(message -> {
+        try (Server discovery = discoveryServer(); Server host = new Server(message -> {
             write(message.socket(), "HTTP/1.1 200 OK\r\n" + framing + "\r\n\r\n" + (chunked ? "1\r\nx\r\n" : "x"));
-            while (!seen.await(20, TimeUnit.MILLISECONDS)) {
+            while (!clientReceived.await(20, TimeUnit.MILLISECONDS)) {
                 write(message.socket(), chunked ? "1\r\nx\r\n" : "");
             }
             write(message.socket(), chunked ? "1\r\ny\r\n0\r\n\r\n" : "y".repeat(69_999));
-        }); Node node = node(discovery, host)) {
+        }); GatewayNode node = startNode(discovery, host)) {
             Socket client = node.connect();
             write(client, read(1_000_000));
             StringBuilder head = new StringBuilder();
@@ -162,9 +165,10 @@
                 head.append((char) next);
             }
             assertTrue(head.toString().startsWith("HTTP/1.1 200 OK"), head.toString());
-            seen.countDown();
+            clientReceived.countDown();
             StringBuilder rest = new StringBuilder();
-            while (!rest.toString().endsWith(chunked ? "0\r\n\r\n" : "y".repeat(9)) || !chunked && rest.length() < 69_999) {
+            while (!rest.toString().endsWith(chunked ? "0\r\n\r\n" : "y".repeat(9))
+                    || !chunked && rest.length() < 69_999) {
                 int next = client.getInputStream().read();
                 assertTrue(next >= 0);
                 rest.append((char) next);
@@ -172,14 +176,14 @@
         }
     }
 
-    /** Guards against a whole form of HTTP/1.1 taken for spoilt: an answer that its connection's end ends, told so. */
+    /** Guards against rejecting a valid form of HTTP/1.1: a response that ends with its connection, and says so. */
     @ParameterizedTest
     @ValueSource(ints = {5, 200_000})
-    void anAnswerMayLastToTheEndOfItsConnection(int length) throws Exception {
-        try (Server discovery = discovery(); Server host = new Server(message -> {
+    void acceptsResponseThatEndsWithItsConnection(int length) throws Exception {
+        try (Server discovery = discoveryServer(); Server host = new Server(message -> {
             write(message.socket(), "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + "x".repeat(length));
             message.socket().close();
-        }); Node node = node(discovery, host)) {
+        }); GatewayNode node = startNode(discovery, host)) {
             Socket client = node.connect();
             for (int i = 0; i < 2; i++) {
                 write(client, read(20_000));
@@ -188,32 +192,33 @@
         }
     }
 
-    /** Guards against a part that passes for the whole where only the connection's end tells it: a reset is none. */
+    /** Guards against a partial response that passes for a complete one where only the connection's end marks the end:
+        a reset does not. */
     @Test
-    void anAnswerToTheEndOfItsConnectionThatIsResetIsNoWhole() throws Exception {
-        CountDownLatch begun = new CountDownLatch(1);
-        try (Server discovery = discovery(); Server host = new Server(message -> {
+    void resetDoesNotCompleteResponseThatEndsWithItsConnection() throws Exception {
+        CountDownLatch clientReceived = new CountDownLatch(1);
+        try (Server discovery = discoveryServer(); Server host = new Server(message -> {
             write(message.socket(), "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + "x".repeat(100_000));
-            begun.await();
+            clientReceived.await();
             message.socket().setSoLinger(true, 0);
             message.socket().close();
-        }); Node node = node(discovery, host)) {
+        }); GatewayNode node = startNode(discovery, host)) {
             Socket client = node.connect();
             write(client, read(20_000));
             assertEquals(1000, client.getInputStream().readNBytes(1000).length);
-            begun.countDown();
+            clientReceived.countDown();
             String rest = new String(client.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
             assertFalse(rest.endsWith("\r\n0\r\n\r\n"));
         }
     }
 
-    /** Guards against a part that passes for the whole. */
+    /** Guards against a partial response that passes for a complete one. */
     @Test
-    void anAnswerThatBreaksOnItsWayEndsTheClientsConnection() throws Exception {
-        try (Server discovery = discovery(); Server host = new Server(message -> {
+    void closesClientConnectionOnIncompleteResponse() throws Exception {
+        try (Server discovery = discoveryServer(); Server host = new Server(message -> {
             write(message.socket(), "HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n" + "x".repeat(80_000));
             message.socket().close();
-        }); Node node = node(discovery, host)) {
+        }); GatewayNode node = startNode(discovery, host)) {
             Socket client = node.connect();
             write(client, read(20_000));
             assertNull(Loopback.read(client));
@@ -221,67 +226,71 @@
         }
     }
 
-    /** Guards against a second effect: what is not kept can't be sent again, though its class would allow it. */
+    /** Guards against a retry with a part of the body: a streamed request is not kept, though its class allows retries.
+        */
     @Test
-    void aLongRequestThatMayHaveRunIsNotSentAgain() throws Exception {
+    void doesNotRetryStreamedRequest() throws Exception {
         AtomicInteger count = new AtomicInteger();
-        Loopback.Script breaks = message -> {
+        Loopback.MessageHandler breaks = message -> {
             count.incrementAndGet();
             message.socket().close();
         };
-        try (Server discovery = discovery(); Server one = new Server(breaks); Server two = new Server(breaks);
-                Node node = node(discovery, one, two)) {
-            assertEquals(502, node.ask(head("Content-Length: 100000") + "x".repeat(100_000)).status());
+        try (Server discovery = discoveryServer(); Server one = new Server(breaks); Server two = new Server(breaks);
+                GatewayNode node = startNode(discovery, one, two)) {
+            assertEquals(502, node.sendRequest(head("Content-Length: 100000") + "x".repeat(100_000)).status());
             assertEquals(1, count.get());
-            assertEquals(502, node.ask(post("start", 20_000, "short")).status());
+            assertEquals(502, node.sendRequest(post("start", 20_000, "short")).status());
             assertEquals(3, count.get());
         }
     }
 
-    /** A host that can't be reached has taken nothing of the body yet. */
+    /** A host that can't be connected to has received nothing of the body yet. */
     @Test
-    void aLongRequestGoesOnToAnotherHostWhereNoConnectionComesUp() throws Exception {
-        Server closed = host("");
+    void sendsLongRequestToAnotherHostAfterFailedConnection() throws Exception {
+        Server closed = hostResponding("");
         closed.close();
-        try (Server discovery = discovery(); Server host = host("ok"); Node node = node(discovery, closed, closed, host)) {
+        try (Server discovery = discoveryServer(); Server host = hostResponding("ok");
+                GatewayNode node = startNode(discovery, closed, closed, host)) {
             for (int i = 0; i < 6; i++) {
-                Message answer = node.ask(head("Content-Length: 100000").replace("7f3a", "key" + i) + "x".repeat(100_000));
-                assertEquals("ok", answer.text());
+                Message answer = node.sendRequest(head("Content-Length: 100000").replace("7f3a", "key" + i)
+                        + "x".repeat(100_000));
+                assertEquals("ok", answer.bodyText());
             }
         }
     }
 
-    /** Guards against a body whose end is in doubt, and that runs. */
+    /** Guards against a malformed request that a host runs. */
     @Test
-    void aLongRequestThatTurnsOutBadNeverRuns() throws Exception {
-        try (Server discovery = discovery(); Server host = host("ran"); Node node = node(discovery, host)) {
+    void doesNotRunMalformedLongRequest() throws Exception {
+        try (Server discovery = discoveryServer(); Server host = hostResponding("ran");
+                GatewayNode node = startNode(discovery, host)) {
             Socket client = node.connect();
             write(client, head("Transfer-Encoding: chunked"));
-            chunk(client.getOutputStream(), bytes(100_000), 0, 100_000);
+            writeChunk(client.getOutputStream(), bytes(100_000), 0, 100_000);
             write(client, "zz\r\n");
             assertNull(Loopback.read(client));
-            assertNotNull(await(host.ended));
+            assertNotNull(await(host.closedConnections));
             assertTrue(host.received.isEmpty());
         }
     }
 
     @Test
-    void aClientThatLeavesInTheMiddleEndsTheAttempt() throws Exception {
-        try (Server discovery = discovery(); Server host = new Server(message -> {
+    void closesAttemptWhenClientDisconnectsDuringResponse() throws Exception {
+        try (Server discovery = discoveryServer(); Server host = new Server(message -> {
             write(message.socket(), "HTTP/1.1 200 OK\r\nContent-Length: 30000000\r\n\r\n" + "x".repeat(100_000));
-        }); Node node = node(discovery, host)) {
+        }); GatewayNode node = startNode(discovery, host)) {
             Socket client = node.connect();
             write(client, read(20_000));
             assertEquals(100, client.getInputStream().readNBytes(100).length);
             client.close();
-            assertNotNull(await(host.ended));
+            assertNotNull(await(host.closedConnections));
         }
     }
 
-    /** Guards against an answer that gets lost where the client still sends: the rest is read, then the close comes. */
+    /** Guards against a response that gets lost while the client still sends: the rest is read before the close. */
     @Test
-    void anAnswerAheadOfTheBodysEndArrives() throws Exception {
-        try (Server discovery = discovery(); Node node = node(discovery)) {
+    void deliversResponseSentBeforeTheEndOfTheBody() throws Exception {
+        try (Server discovery = discoveryServer(); GatewayNode node = startNode(discovery)) {
             Socket client = node.connect();
             write(client, head("Content-Length: 1000000"));
             Message answer = Loopback.read(client);
@@ -294,10 +303,12 @@
 
     @ParameterizedTest
     @ValueSource(ints = {10, 200_000})
-    void aClientThatWaitsToBeAskedIsAsked(int length) throws Exception {
-        try (Server discovery = discovery(); Server host = host("ok"); Node node = node(discovery, host)) {
+    void sendsContinueInTurn(int length) throws Exception {
+        try (Server discovery = discoveryServer(); Server host = hostResponding("ok");
+                GatewayNode node = startNode(discovery, host)) {
             Socket client = node.connect();
-            write(client, read(20_000) + head("Content-Length: " + length + "\r\nExpect: 100-continue").replace("9b1f", "2"));
+            write(client, read(20_000) + head("Content-Length: " + length + "\r\nExpect: 100-continue")
+                    .replace("9b1f", "2"));
             assertEquals(200, Loopback.read(client).status());
             assertEquals(100, Loopback.read(client).status());
             write(client, "x".repeat(length));
@@ -306,10 +317,11 @@
         }
     }
 
-    /** Guards against a bound on the whole that slow but proper clients can't keep. */
+    /** Guards against a limit on the whole request that slow but permitted clients can't keep. */
     @Test
-    void aBodyMayTakeItsTimeAsLongAsItComes() throws Exception {
-        try (Server discovery = discovery(); Server host = host("ok"); Node node = node(discovery, host)) {
+    void acceptsSlowBodyThatMakesProgress() throws Exception {
+        try (Server discovery = discoveryServer(); Server host = hostResponding("ok");
+                GatewayNode node = startNode(discovery, host)) {
             Socket client = node.connect();
             write(client, head("Content-Length: 600000"));
             for (int i = 0; i < 60; i++) {
@@ -320,46 +332,47 @@
         }
     }
 
-    private static ByteBuf piece(int length) {
+    private static ByteBuf buffer(int length) {
         return Unpooled.wrappedBuffer(new byte[length]);
     }
 
-    /** Guards against memory that grows with a body: a full relay says so, and goes on once its channel takes more. */
+    /** Guards against memory that grows with a body: a full relay reports it, and resumes once its channel is writable.
+        */
     @Test
-    void aRelayAsksForAPauseWhileItsChannelTakesNothing() {
+    void relayReportsFullWhileChannelIsNotWritable() {
         EmbeddedChannel channel = new EmbeddedChannel();
-        Relay relay = new Relay();
+        BodyRelay relay = new BodyRelay();
         List<Boolean> full = new ArrayList<>();
         List<Boolean> done = new ArrayList<>();
-        relay.onPace(() -> full.add(relay.full()));
+        relay.onFullChange(() -> full.add(relay.isFull()));
         channel.unsafe().outboundBuffer().setUserDefinedWritability(1, false);
         relay.writeTo(channel, done::add);
         for (int i = 0; i < 3; i++) {
-            relay.add(piece(20_000));
+            relay.add(buffer(20_000));
         }
         assertEquals(List.of(true, true), full);
-        assertTrue(relay.waits());
+        assertTrue(relay.hasUnwrittenData());
         assertNull(channel.readOutbound());
         channel.unsafe().outboundBuffer().setUserDefinedWritability(1, true);
-        relay.goOn();
-        assertFalse(relay.full());
+        relay.resumeWriting();
+        assertFalse(relay.isFull());
         assertEquals(false, full.get(full.size() - 1));
         assertTrue(done.isEmpty());
-        relay.end();
+        relay.complete();
         assertEquals(List.of(true), done);
         for (Object out = channel.readOutbound(); out != null; out = channel.readOutbound()) {
             ReferenceCountUtil.release(out);
         }
     }
 
-    /** Guards against an end inside the chunk before it, where that one's write fills the channel. */
+    /** Guards against a last chunk written in the midst of the chunk before it, whose write fills the channel. */
     @Test
-    void aRelaysEndComesBehindTheChunkThatFillsItsChannel() {
-        Relay relay = new Relay();
+    void relayWritesLastChunkAfterTheChunkThatFillsTheChannel() {
+        BodyRelay relay = new BodyRelay();
         EmbeddedChannel channel = new EmbeddedChannel(new HttpResponseEncoder(), new ChannelInboundHandlerAdapter() {
             @Override
             public void channelWritabilityChanged(ChannelHandlerContext context) {
-                relay.goOn();
+                relay.resumeWriting();
             }
         });
         channel.config().setWriteBufferWaterMark(new WriteBufferWaterMark(1, 2));
@@ -368,7 +381,7 @@
         channel.writeOutbound(head);
         List<Boolean> done = new ArrayList<>();
         relay.add(Unpooled.copiedBuffer("piece", StandardCharsets.US_ASCII));
-        relay.end();
+        relay.complete();
         relay.writeTo(channel, done::add);
         assertEquals(List.of(true), done);
         StringBuilder written = new StringBuilder();
@@ -379,11 +392,12 @@
         assertTrue(written.toString().endsWith("\r\n\r\n5\r\npiece\r\n0\r\n\r\n"), written.toString());
     }
 
-    /** The same where its reader breaks off before a writer was found, as with a client that leaves while it waits. */
+    /** Guards against leaked buffers where reading fails before there is a target channel, as with a client that
+        disconnects while its request waits. */
     @Test
-    void aRelayThatFailsBeforeAnyoneWritesDropsWhatItHolds() {
-        Relay relay = new Relay();
-        ByteBuf held = piece(10);
+    void relayReleasesBuffersIfItFailsBeforeWriting() {
+        BodyRelay relay = new BodyRelay();
+        ByteBuf held = buffer(10);
         relay.add(held);
         relay.fail();
         assertEquals(0, held.refCnt());
@@ -392,16 +406,16 @@
         assertEquals(List.of(false), done);
     }
 
-    /** Guards against pieces that nobody releases. */
+    /** Guards against buffers that are never released. */
     @Test
-    void anAbandonedRelayDropsWhatItHoldsAndWhatComes() {
-        Relay relay = new Relay();
-        ByteBuf held = piece(40_000);
-        ByteBuf late = piece(1);
+    void abandonedRelayReleasesItsBuffers() {
+        BodyRelay relay = new BodyRelay();
+        ByteBuf held = buffer(40_000);
+        ByteBuf late = buffer(1);
         relay.add(held);
         relay.abandon();
         relay.add(late);
-        assertFalse(relay.full());
+        assertFalse(relay.isFull());
         assertEquals(0, held.refCnt());
         assertEquals(0, late.refCnt());
     }
--- a/src/test/java/mastdrift/net/ReadAheadTest.java
+++ b/src/test/java/mastdrift/net/ReadAheadHandlerTest.java
@@ -10,12 +10,13 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-class ReadAheadTest {
+/** When input that was read in a turn of the event loop is delivered. */
+class ReadAheadHandlerTest {
 
-    private static final int READS_OF_A_TURN = 16;
+    private static final int MAX_TURN_READS = 16;
 
-    private final EmbeddedChannel channel = new EmbeddedChannel(new ReadAhead(new ReadAhead.Group(1 << 20), () -> true,
-            () -> 0));
+    private final EmbeddedChannel channel =
+            new EmbeddedChannel(new ReadAheadHandler(new ReadAheadHandler.MemoryBudget(1 << 20), () -> true, () -> 0));
 
     private void read(int pieces) {
         Object[] all = new Object[pieces];
@@ -25,7 +26,7 @@
         channel.writeInbound(all);
     }
 
-    private int passedOn() {
+    private int deliveredBytes() {
         int bytes = 0;
         for (ByteBuf next = channel.readInbound(); next != null; next = channel.readInbound()) {
             bytes += next.readableBytes();
@@ -35,38 +36,38 @@
     }
 
     @Test
-    void aTurnThatReadAllIsPassedOnBehindItsEvents() {
+    void deliversAfterTheEventsOfATurnThatReadAll() {
         channel.freezeTime();
-        read(READS_OF_A_TURN - 1);
-        assertEquals(READS_OF_A_TURN - 1, passedOn());
+        read(MAX_TURN_READS - 1);
+        assertEquals(MAX_TURN_READS - 1, deliveredBytes());
     }
 
-    /** Reads of one byte fill a turn; the client's end lies in the next. */
+    /** Reads of one byte reach the limit of a turn; the client's disconnect may be found in the next. */
     @Test
-    void aTurnThatMayHaveLeftSomethingWaitsForTheNext() {
+    void waitsForTheNextTurnAtTheReadLimit() {
         channel.freezeTime();
-        read(READS_OF_A_TURN);
+        read(MAX_TURN_READS);
         assertNull(channel.readInbound());
         read(3);
-        assertEquals(READS_OF_A_TURN + 3, passedOn());
+        assertEquals(MAX_TURN_READS + 3, deliveredBytes());
     }
 
     @Test
-    void whoLeftWithinTheNextTurnIsNotPassedOn() {
+    void doesNotDeliverInputOfClientThatDisconnectsInTheNextTurn() {
         channel.freezeTime();
-        read(READS_OF_A_TURN);
+        read(MAX_TURN_READS);
         channel.close();
         channel.runPendingTasks();
         assertNull(channel.readInbound());
     }
 
     @Test
-    void whereNothingFollowsItIsPassedOnSoon() {
+    void deliversSoonIfNoInputFollows() {
         channel.freezeTime();
-        read(READS_OF_A_TURN);
+        read(MAX_TURN_READS);
         channel.advanceTimeBy(1, TimeUnit.MILLISECONDS);
         channel.runScheduledPendingTasks();
         channel.runPendingTasks();
-        assertEquals(READS_OF_A_TURN, passedOn());
+        assertEquals(MAX_TURN_READS, deliveredBytes());
     }
 }
--- a/src/test/java/mastdrift/net/TcpChannelTest.java
+++ b/src/test/java/mastdrift/net/TcpChannelTest.java
@@ -6,10 +6,11 @@
 import java.io.IOException;
 import org.junit.jupiter.api.Test;
 
+/** Which failures of a write are treated as a passing lack of memory. */
 class TcpChannelTest {
 
     @Test
-    void aShortageIsToldFromABreak() {
+    void recognizesPassingLackOfMemory() {
         assertTrue(TcpChannel.isShortage(new IOException("No buffer space available")));
         assertTrue(TcpChannel.isShortage(new IOException("Cannot allocate memory")));
         assertFalse(TcpChannel.isShortage(new IOException("Connection reset by peer")));
