--- a/lab/src/main/java/mastdrift/lab/Brains.java
+++ b/lab/src/main/java/mastdrift/lab/Brains.java
@@ -2,8 +2,8 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import mastdrift.HeadroomBalancer;
 import mastdrift.Balancer;
+import mastdrift.HeadroomBalancer;
 
 /** Hosts the decision modules of one day's gateways. Events are told to an instance as they come; what it asks for is
     carried out at the turn that ends a tick, in the order in which it was asked. */
--- a/lab/src/main/java/mastdrift/lab/Lab.java
+++ b/lab/src/main/java/mastdrift/lab/Lab.java
@@ -14,13 +14,13 @@
 import java.util.function.ToDoubleFunction;
 import java.util.stream.LongStream;
 import mastdrift.common.TomlFile;
+import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
-import picocli.CommandLine;
 
 /** The lab's commands. Exit status: 0 all held, 1 a rule was broken or a figure fell short, 2 they were misused. */
 @Command(name = "lab", mixinStandardHelpOptions = true, version = "0.1.0", synopsisSubcommandLabel = "COMMAND",
--- a/lab/src/main/java/mastdrift/lab/Node.java
+++ b/lab/src/main/java/mastdrift/lab/Node.java
@@ -5,12 +5,12 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import mastdrift.Balancer.HostState;
+import mastdrift.Balancer;
 import mastdrift.Balancer.Host;
+import mastdrift.Balancer.HostState;
 import mastdrift.Balancer.ListUpdateType;
 import mastdrift.Balancer.LoadReport;
 import mastdrift.Balancer.Outcome;
-import mastdrift.Balancer;
 
 /** A gateway: carries out what its module asks for and tells it what happens, as the real one does. */
 final class Node {
--- a/lab/src/main/java/mastdrift/lab/Registry.java
+++ b/lab/src/main/java/mastdrift/lab/Registry.java
@@ -4,8 +4,8 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import mastdrift.Balancer.HostState;
 import mastdrift.Balancer.Host;
+import mastdrift.Balancer.HostState;
 import mastdrift.Balancer.ListUpdateType;
 import mastdrift.Balancer.WeightMode;
 
--- a/lab/src/main/java/mastdrift/lab/Wire.java
+++ b/lab/src/main/java/mastdrift/lab/Wire.java
@@ -16,13 +16,13 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Collectors;
-import mastdrift.Balancer.HostState;
+import mastdrift.Balancer;
 import mastdrift.Balancer.Host;
+import mastdrift.Balancer.HostState;
 import mastdrift.Balancer.ListUpdateType;
 import mastdrift.Balancer.LoadReport;
 import mastdrift.Balancer.Outcome;
 import mastdrift.Balancer.Settings;
-import mastdrift.Balancer;
 import org.tomlj.Toml;
 import org.tomlj.TomlParseResult;
 
--- a/registry/src/main/java/mastdrift/registry/Agent.java
+++ b/registry/src/main/java/mastdrift/registry/Agent.java
@@ -26,9 +26,9 @@
 import mastdrift.common.Backoff;
 import mastdrift.common.Clock;
 import mastdrift.common.Disk;
-import mastdrift.common.LineStreamClient;
 import mastdrift.common.HttpServer;
 import mastdrift.common.Json;
+import mastdrift.common.LineStreamClient;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
--- a/rig/src/main/java/mastdrift/rig/InstrumentedProcess.java
+++ b/rig/src/main/java/mastdrift/rig/InstrumentedProcess.java
@@ -15,13 +15,13 @@
 import mastdrift.common.Disk;
 import mastdrift.common.HttpServer;
 import mastdrift.registry.Agent;
-import mastdrift.registry.RegistryState;
-import mastdrift.registry.FailureDetector;
 import mastdrift.registry.DutyCommands;
 import mastdrift.registry.EndpointList;
+import mastdrift.registry.FailureDetector;
 import mastdrift.registry.MembershipClient;
-import mastdrift.registry.ReplicaBootstrap;
+import mastdrift.registry.RegistryState;
 import mastdrift.registry.Replica;
+import mastdrift.registry.ReplicaBootstrap;
 
 /** Main class of an instrumented process: a replica, agent, member or duty candidate with a clock and a disk into which
     the rig injects faults through a hooks file while it runs; and, if asked, in a variant that is broken on purpose. */
--- a/rig/src/main/java/mastdrift/rig/RegistryBenchmark.java
+++ b/rig/src/main/java/mastdrift/rig/RegistryBenchmark.java
@@ -22,9 +22,9 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.BooleanSupplier;
 import java.util.stream.IntStream;
-import mastdrift.common.LineStreamClient;
 import mastdrift.common.HttpServer;
 import mastdrift.common.Json;
+import mastdrift.common.LineStreamClient;
 import org.HdrHistogram.Histogram;
 
 /**
--- a/rig/src/main/java/mastdrift/rig/RegistryWorkload.java
+++ b/rig/src/main/java/mastdrift/rig/RegistryWorkload.java
@@ -16,9 +16,9 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 import mastdrift.common.Backoff;
-import mastdrift.common.LineStreamClient;
 import mastdrift.common.HttpServer;
 import mastdrift.common.Json;
+import mastdrift.common.LineStreamClient;
 import mastdrift.lab.Dice;
 
 /** A workload for the list service: writers put, compare-and-set and read entries, watchers follow the list, and all
--- a/rig/src/main/java/mastdrift/rig/Rig.java
+++ b/rig/src/main/java/mastdrift/rig/Rig.java
@@ -19,12 +19,12 @@
 import mastdrift.common.Json;
 import mastdrift.common.TomlFile;
 import mastdrift.lab.Lab;
+import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
-import picocli.CommandLine;
 
 /** The rig's commands. Exit status: 0 if every check held, 1 if one was broken, 2 for misuse or a run that failed. */
 @Command(name = "rig", mixinStandardHelpOptions = true, version = "0.1.0", synopsisSubcommandLabel = "COMMAND",
--- a/src/main/java/mastdrift/HeadroomBalancer.java
+++ b/src/main/java/mastdrift/HeadroomBalancer.java
@@ -11,8 +11,8 @@
 import java.util.SplittableRandom;
 import java.util.stream.Collectors;
 import mastdrift.BalancerState.Attempt;
-import mastdrift.BalancerState.OpenRequest;
 import mastdrift.BalancerState.ModelStats;
+import mastdrift.BalancerState.OpenRequest;
 import mastdrift.BalancerState.Server;
 import mastdrift.BalancerState.Session;
 
--- a/src/main/java/mastdrift/net/DownstreamServer.java
+++ b/src/main/java/mastdrift/net/DownstreamServer.java
@@ -118,7 +118,7 @@
         this.gateway = gateway;
         this.lifecycle = lifecycle;
         connections = new ConnectionLimit<>(loop, maxConnections, this::setAccepting,
-                () -> gateway.tally().increment(GatewayMetrics.Counter.CLIENTS_PUSHED_OUT));
+                () -> gateway.metrics().increment(GatewayMetrics.Counter.CLIENTS_PUSHED_OUT));
         settings.classes().forEach(type -> requestClasses.put(type.name(), type));
         settings.tenants().stream().map(Tenant::name).forEach(tenants::add);
     }
@@ -172,7 +172,7 @@
     }
 
     private void acceptFailed(Exception cause) {
-        gateway.tally().increment(GatewayMetrics.Counter.ACCEPTS_FAILED);
+        gateway.metrics().increment(GatewayMetrics.Counter.ACCEPTS_FAILED);
         gateway.eventLog().add(EventLog.Event.ACCEPT_FAILED, "cause", cause);
     }
 
@@ -383,8 +383,8 @@
         @Override
         public void channelActive(ChannelHandlerContext context) {
             connections.add(this);
-            gateway.tally().increment(GatewayMetrics.Counter.CLIENTS_CAME);
-            gateway.tally().recordPeak(GatewayMetrics.Peak.CLIENT_CONNECTIONS, connections.size());
+            gateway.metrics().increment(GatewayMetrics.Counter.CLIENTS_CAME);
+            gateway.metrics().recordPeak(GatewayMetrics.Peak.CLIENT_CONNECTIONS, connections.size());
         }
 
         /** Closes the connection if it has been idle, or has been sending a request, for too long. Sends no 408
@@ -440,7 +440,7 @@
                 return;
             }
             if (closeReason != CloseReason.CLIENT) {
-                gateway.tally().increment(GatewayMetrics.Counter.UNANSWERED);
+                gateway.metrics().increment(GatewayMetrics.Counter.UNANSWERED);
             }
             gateway.eventLog().add(EventLog.Event.CLIENT_GONE, "trace", traceId, "reason", closeReason, "cause",
                     failure, "waiting", pendingRequests.size());
@@ -509,7 +509,7 @@
         @Override
         public void userEventTriggered(ChannelHandlerContext context, Object event) {
             if (event == TcpChannel.WriteDeferred.INSTANCE) {
-                gateway.tally().increment(GatewayMetrics.Counter.WRITES_DEFERRED);
+                gateway.metrics().increment(GatewayMetrics.Counter.WRITES_DEFERRED);
                 gateway.eventLog().add(EventLog.Event.WRITE_DEFERRED, "trace", traceId);
             }
             if (event == MessageAggregator.Event.CONTINUE_EXPECTED) {
--- a/src/main/java/mastdrift/net/Gateway.java
+++ b/src/main/java/mastdrift/net/Gateway.java
@@ -29,8 +29,8 @@
 import mastdrift.Balancer;
 import mastdrift.Balancer.ListUpdateType;
 import mastdrift.Balancer.LoadReport;
-import mastdrift.Balancer.Outcome;
 import mastdrift.Balancer.LoadReportMode;
+import mastdrift.Balancer.Outcome;
 import mastdrift.Balancer.Settings;
 
 /** Connects a {@link Balancer} to the network: supplies its clock and timers, tracks open requests and their attempts,
@@ -139,7 +139,7 @@
         /** The client has disconnected and needs no response. */
         void clientLeft() {
             if (!ended) {
-                tally.increment(GatewayMetrics.Counter.DEPARTED);
+                metrics.increment(GatewayMetrics.Counter.DEPARTED);
                 finish(this);
                 if (bodyRelay != null || responseStreaming) {  // a streamed body has lost its source or its destination
                     attempts.forEach(HostConnectionPool.Attempt::cancel);
@@ -155,7 +155,7 @@
     private final HostConnectionPool hostPool;
     private final DiscoveryClient discovery;
     private final Settings settings;
-    private final GatewayMetrics tally;
+    private final GatewayMetrics metrics;
     private final EventLog log;
     private final LoopMonitor loopMonitor;
     private final int maxOpenRequests;
@@ -173,18 +173,18 @@
 
     /** Starts the balancer; must be called on the loop's thread. {@code nanoTime} counts from an arbitrary origin.
         {@code logOutput} receives log lines and must not block. */
-    Gateway(Config config, EventLoop loop, LongSupplier nanoTime, Balancer balancer, GatewayMetrics tally,
+    Gateway(Config config, EventLoop loop, LongSupplier nanoTime, Balancer balancer, GatewayMetrics metrics,
             int maxHostConnections, int maxOpenRequests, Consumer<String> logOutput) {
         this.loop = loop;
         this.nanoTime = nanoTime;
         clockOffset = System.currentTimeMillis() * 1000 - nanoTime.getAsLong() / 1000;
-        this.tally = tally;
+        this.metrics = metrics;
         this.balancer = balancer;
         this.logOutput = logOutput;
         log = new EventLog(this::now, this::log);
         ThreadTimes times = new ThreadTimes();
         loop.parent().terminationFuture().addListener(ended -> times.close());
-        loopMonitor = new LoopMonitor(this::now, times::read, tally, log);
+        loopMonitor = new LoopMonitor(this::now, times::read, metrics, log);
         hostStarts = new HostStartTimes(this::now, () -> System.currentTimeMillis() * 1000,
                 () -> log.add(EventLog.Event.CLOCK_STEPPED, "unix_ms", System.currentTimeMillis(), "steady_ms",
                 now() / 1000));
@@ -192,7 +192,7 @@
         this.maxOpenRequests = Math.min(maxOpenRequests, settings.limits().maxOpenRequests());
         hostPool = new HostConnectionPool(loop, this::now, loopMonitor, settings.connections().dialTimeout(),
                 settings.connections().idleTimeout(),
-                settings.guarantees().drainGrace(), maxHostConnections, tally, log);
+                settings.guarantees().drainGrace(), maxHostConnections, metrics, log);
         discovery = new DiscoveryClient(loop, config.discoveryAddress(), config.initialHosts().revision(),
                 list -> hostListReceived(list, list.full() ? ListUpdateType.FULL : ListUpdateType.DELTA),
                 this::hostListFailed);
@@ -230,14 +230,14 @@
     }
 
     /** The counters for log and metrics, to which the client connections add theirs. */
-    GatewayMetrics tally() {
-        return tally;
+    GatewayMetrics metrics() {
+        return metrics;
     }
 
     /** Starts to update those metrics that are polled from the balancer rather than counted. */
     void startGaugeUpdates() {
         PeriodicTask.schedule(loop, GAUGE_UPDATE_INTERVAL_MICROS,
-                () -> tally.setGauge(GatewayMetrics.Gauge.HOSTS_EXCLUDED, balancer.excludedHostCount(now())), this::log);
+                () -> metrics.setGauge(GatewayMetrics.Gauge.HOSTS_EXCLUDED, balancer.excludedHostCount(now())), this::log);
     }
 
     /** Whether all requests and their attempts have ended and no resources are held for them. */
@@ -246,7 +246,7 @@
     }
 
     private void logCounts() {
-        String line = tally.logLine();
+        String line = metrics.logLine();
         if (!line.isEmpty()) {
             log(line);
         }
@@ -276,7 +276,7 @@
         exchange, if one is given. */
     private void dispatch(Exchange exchange, LongConsumer event) {
         if (!loop.inEventLoop()) {
-            tally.increment(GatewayMetrics.Counter.OFF_LOOP);
+            metrics.increment(GatewayMetrics.Counter.OFF_LOOP);
             log.add(EventLog.Event.OFF_LOOP, "thread", Thread.currentThread().getName());
         }
         pendingEvents.add(() -> {
@@ -286,7 +286,7 @@
                 log("fault in an event: " + fault + Arrays.stream(fault.getStackTrace()).limit(1).toList());
                 if (exchange != null && !exchange.ended) {
                     finish(exchange);
-                    tally.increment(exchange.className, GatewayMetrics.RequestOutcome.FAILED);
+                    metrics.increment(exchange.className, GatewayMetrics.RequestOutcome.FAILED);
                     exchange.client.sendFailure(false);
                     dispatch(null, now -> balancer.clientLeft(now, exchange.id));
                 }
@@ -312,7 +312,7 @@
             hostStarts.listReceived();
         }
         hostPool.update(list);
-        tally.setGauge(GatewayMetrics.Gauge.HOSTS_KNOWN, hostPool.knownHostCount());
+        metrics.setGauge(GatewayMetrics.Gauge.HOSTS_KNOWN, hostPool.knownHostCount());
         log("list " + list.revision() + ": " + list.entries().size() + (list.full() ? " hosts" : " changes"));
         dispatch(null, now -> balancer.hostListReceived(now, type,
                 list.entries().stream().map(HostList.Entry::host).toList()));
@@ -329,24 +329,24 @@
     }
 
     private void updateInFlight() {
-        tally.setGauge(GatewayMetrics.Gauge.IN_FLIGHT, openRequests - incompleteRequests);
+        metrics.setGauge(GatewayMetrics.Gauge.IN_FLIGHT, openRequests - incompleteRequests);
     }
 
     /** Accepts a request, retaining its message. {@code timeLeft} counts from the request's last byte;
         {@code bodyRelay} is null if the request is complete. Returns null if the request was answered at once. */
     Exchange submit(Client client, FullHttpRequest request, BodyRelay bodyRelay, String className, String tenant,
             Long key, long timeLeft, boolean repeated, long work) {
-        tally.increment(GatewayMetrics.Counter.TAKEN);
+        metrics.increment(GatewayMetrics.Counter.TAKEN);
         if (openRequests >= maxOpenRequests) {
-            tally.increment(GatewayMetrics.Counter.REFUSED_AT_BOUND);
-            tally.increment(className, GatewayMetrics.RequestOutcome.REFUSED);
+            metrics.increment(GatewayMetrics.Counter.REFUSED_AT_BOUND);
+            metrics.increment(className, GatewayMetrics.RequestOutcome.REFUSED);
             client.sendRefusal(settings.limits().maxRetryAfter());
             return null;
         }
         long timeBudget = Math.min(timeLeft, answerDeadline - now()) - RESPONSE_MARGIN_MICROS;
         if (timeBudget <= 0) {
-            tally.increment(GatewayMetrics.Counter.OVERDUE);
-            tally.increment(className, GatewayMetrics.RequestOutcome.FAILED);
+            metrics.increment(GatewayMetrics.Counter.OVERDUE);
+            metrics.increment(className, GatewayMetrics.RequestOutcome.FAILED);
             client.sendFailure(true);
             return null;
         }
@@ -354,7 +354,7 @@
         openRequests++;
         incompleteRequests += bodyRelay == null ? 0 : 1;
         updateInFlight();
-        tally.recordPeak(GatewayMetrics.Peak.OPEN_REQUESTS, openRequests);
+        metrics.recordPeak(GatewayMetrics.Peak.OPEN_REQUESTS, openRequests);
         exchanges.put(exchange.id, exchange);
         exchange.startDeadline();
         boolean write = request.method().equals(HttpMethod.POST);
@@ -366,7 +366,7 @@
     /** Fails a request that the balancer has not answered by its deadline. */
     private void deadlineExceeded(Exchange exchange) {
         if (!exchange.ended) {
-            tally.increment(GatewayMetrics.Counter.OVERDUE);
+            metrics.increment(GatewayMetrics.Counter.OVERDUE);
             finish(exchange);
             recordFailure(exchange, "overdue");
             exchange.client.sendFailure(true);
@@ -375,7 +375,7 @@
     }
 
     private void recordFailure(Exchange exchange, String reason) {
-        tally.increment(exchange.className, GatewayMetrics.RequestOutcome.FAILED);
+        metrics.increment(exchange.className, GatewayMetrics.RequestOutcome.FAILED);
         log.add(EventLog.Event.REQUEST_FAILED, "trace", exchange.traceId, "class", exchange.className, "reason", reason,
                 "attempts", exchange.attempts.size(), "late_us", Math.max(0, now() - exchange.deadline));
     }
@@ -406,14 +406,14 @@
     private void attemptEnded(Exchange exchange, int number, String hostId, long elapsed, Outcome outcome,
             FullHttpResponse response, LoadReport report) {
         exchange.lastAttemptExpired = outcome == Outcome.EXPIRED;
-        tally.increment(outcome);
+        metrics.increment(outcome);
         if (outcome != Outcome.DELIVERED && !exchange.ended) {
             log.add(EventLog.Event.ATTEMPT_FAILED, "trace", exchange.traceId, "attempt", number, "host", hostId,
                     "outcome", outcome, "after_us", elapsed);
         }
         if (outcome == Outcome.DELIVERED && !exchange.ended && !exchange.responseStreaming) {
             finish(exchange);
-            tally.increment(exchange.className, GatewayMetrics.RequestOutcome.SERVED);
+            metrics.increment(exchange.className, GatewayMetrics.RequestOutcome.SERVED);
             exchange.client.sendResponse(response);
         }
         dispatch(exchange, now -> {
@@ -437,7 +437,7 @@
         exchange.client.startStreaming(response, bodyRelay, complete -> {
             if (!exchange.ended) {
                 finish(exchange);
-                tally.increment(exchange.className, complete ? GatewayMetrics.RequestOutcome.SERVED : GatewayMetrics.RequestOutcome.FAILED);
+                metrics.increment(exchange.className, complete ? GatewayMetrics.RequestOutcome.SERVED : GatewayMetrics.RequestOutcome.FAILED);
             }
         });
     }
@@ -508,7 +508,7 @@
 
         @Override
         public void onRequestWritten() {
-            tally.increment(GatewayMetrics.Counter.ATTEMPTS_WRITTEN);
+            metrics.increment(GatewayMetrics.Counter.ATTEMPTS_WRITTEN);
             if (exchange.bodyRelay != null && !exchange.ended) {
                 sentAt = now();
                 exchange.bodyComplete();
@@ -569,7 +569,7 @@
         Exchange exchange = exchanges.get(id);
         if (exchange != null && !exchange.ended && !exchange.responseStreaming) {
             finish(exchange);
-            tally.increment(exchange.className, GatewayMetrics.RequestOutcome.REFUSED);
+            metrics.increment(exchange.className, GatewayMetrics.RequestOutcome.REFUSED);
             log.add(EventLog.Event.REQUEST_REFUSED, "trace", exchange.traceId, "class", exchange.className, "attempts",
                     exchange.attempts.size());
             exchange.client.sendRefusal(retryAfter);
--- a/src/main/java/mastdrift/net/HostConnectionPool.java
+++ b/src/main/java/mastdrift/net/HostConnectionPool.java
@@ -38,8 +38,8 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongSupplier;
-import mastdrift.Balancer.HostState;
 import mastdrift.Balancer.Host;
+import mastdrift.Balancer.HostState;
 import mastdrift.Balancer.Outcome;
 
 /** The pool of connections to hosts. Makes each attempt once, on the host that the caller chose, and reports its
--- a/src/main/java/mastdrift/net/HostList.java
+++ b/src/main/java/mastdrift/net/HostList.java
@@ -5,8 +5,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.ToLongBiFunction;
-import mastdrift.Balancer.HostState;
 import mastdrift.Balancer.Host;
+import mastdrift.Balancer.HostState;
 
 /** A host list from discovery: all hosts where {@code full}, and otherwise the entries that changed. */
 record HostList(long revision, boolean full, List<Entry> entries) {
--- a/src/main/java/mastdrift/net/Main.java
+++ b/src/main/java/mastdrift/net/Main.java
@@ -65,11 +65,11 @@
         try {
             Config config = readConfig();
             ServerSocketChannel inheritedSocket = config.socketInherited() ? inheritedSocket() : null;
-            GatewayMetrics tally = config.newMetrics();
+            GatewayMetrics metrics = config.newMetrics();
             InetSocketAddress adminAddress = config.adminAddress() == null ? null
-                    : AdminServer.start(config.adminAddress(), newEventLoop(), lifecycle, tally).address();
+                    : AdminServer.start(config.adminAddress(), newEventLoop(), lifecycle, metrics).address();
             boolean rehearseOnly = List.of(args).contains(REHEARSE_ARGUMENT);
-            LogWriter log = LogWriter.startOn(FileDescriptor.out, () -> tally.increment(GatewayMetrics.Counter.LOG_LINES_DROPPED));
+            LogWriter log = LogWriter.startOn(FileDescriptor.out, () -> metrics.increment(GatewayMetrics.Counter.LOG_LINES_DROPPED));
             ClassPreloader.load();
             WarmUp.run(config, adminAddress, rehearseOnly, newEventLoop(), log);
             if (rehearseOnly) {
@@ -79,7 +79,7 @@
             if (adminAddress != null) {
                 log.accept("operators may call " + adminAddress);
             }
-            DownstreamServer server = createServer(config, loop, System::nanoTime, lifecycle, tally, log);
+            DownstreamServer server = createServer(config, loop, System::nanoTime, lifecycle, metrics, log);
             reloader.complete(createReloader(server.gateway(), loop));
             // Before the first request can arrive: from then on an end without this would lose accepted requests.
             Runtime.getRuntime().addShutdownHook(new Thread(() -> stop(loop, server, log)));
@@ -131,10 +131,10 @@
     /** Reloads the address of discovery from the configuration; one that can't be read changes nothing. */
     private static ConfigReloader createReloader(Gateway gateway, EventLoop loop) {
         return new ConfigReloader(() -> Config.discoveryAddress(System.getenv()), discovery -> {
-            gateway.tally().increment(GatewayMetrics.Counter.RELOADS_OK);
+            gateway.metrics().increment(GatewayMetrics.Counter.RELOADS_OK);
             executeOn(loop, () -> gateway.setDiscoveryAddress(discovery), gateway::log);
         }, cause -> {
-            gateway.tally().increment(GatewayMetrics.Counter.RELOADS_FAILED);
+            gateway.metrics().increment(GatewayMetrics.Counter.RELOADS_FAILED);
             gateway.log("configuration not taken: " + cause);
         });
     }
@@ -180,10 +180,10 @@
     /** Creates a gateway and its server, which does not listen yet, on the loop. {@code nanoTime} counts from an
         arbitrary origin. Throws IllegalArgumentException for invalid settings. */
     static DownstreamServer createServer(Config config, EventLoop loop, LongSupplier nanoTime, Lifecycle lifecycle,
-            GatewayMetrics tally, Consumer<String> logOutput) {
+            GatewayMetrics metrics, Consumer<String> logOutput) {
         int maxConnections = maxConnections(config.maxSockets());
         return CompletableFuture.supplyAsync(() -> {
-            Gateway gateway = new Gateway(config, loop, nanoTime, new HeadroomBalancer(), tally, maxConnections,
+            Gateway gateway = new Gateway(config, loop, nanoTime, new HeadroomBalancer(), metrics, maxConnections,
                     maxOpenRequests(maxConnections), logOutput);
             if (config.adminAddress() != null) {
                 gateway.startGaugeUpdates();
--- a/src/main/java/mastdrift/net/WarmUp.java
+++ b/src/main/java/mastdrift/net/WarmUp.java
@@ -29,11 +29,11 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import java.util.stream.IntStream;
-import mastdrift.HeadroomBalancer;
-import mastdrift.Balancer.HostState;
 import mastdrift.Balancer.Host;
+import mastdrift.Balancer.HostState;
 import mastdrift.Balancer.Idempotency;
 import mastdrift.Balancer.RequestClass;
+import mastdrift.HeadroomBalancer;
 
 /** Warms up the virtual machine: loads and compiles the code on the path of a request before the first one comes. A
     cold virtual machine takes 5 ms of its core for each request at first, so that requests would queue past their
--- a/src/main/java/mastdrift/wire/Adapter.java
+++ b/src/main/java/mastdrift/wire/Adapter.java
@@ -1,11 +1,5 @@
 package mastdrift.wire;
 
-import mastdrift.Balancer;
-import mastdrift.Balancer.HostState;
-import mastdrift.Balancer.Host;
-import mastdrift.Balancer.ListUpdateType;
-import mastdrift.Balancer.LoadReport;
-import mastdrift.Balancer.Outcome;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.PrintStream;
@@ -15,6 +9,12 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Supplier;
+import mastdrift.Balancer;
+import mastdrift.Balancer.Host;
+import mastdrift.Balancer.HostState;
+import mastdrift.Balancer.ListUpdateType;
+import mastdrift.Balancer.LoadReport;
+import mastdrift.Balancer.Outcome;
 
 /**
  * Connects the simulator to balancers: reads batches of events line by line, runs one {@link Balancer} for each gateway
--- a/src/main/java/mastdrift/wire/Main.java
+++ b/src/main/java/mastdrift/wire/Main.java
@@ -1,6 +1,5 @@
 package mastdrift.wire;
 
-import mastdrift.HeadroomBalancer;
 import java.io.BufferedReader;
 import java.io.BufferedWriter;
 import java.io.IOException;
@@ -10,6 +9,7 @@
 import java.io.OutputStreamWriter;
 import java.io.PrintStream;
 import java.nio.charset.StandardCharsets;
+import mastdrift.HeadroomBalancer;
 
 /** Command line: {@code adapter} serves the simulator's protocol on standard input and output. */
 public final class Main {
--- a/src/main/java/mastdrift/wire/SettingsParser.java
+++ b/src/main/java/mastdrift/wire/SettingsParser.java
@@ -1,25 +1,25 @@
 package mastdrift.wire;
 
-import mastdrift.Balancer.CpuBudget;
-import mastdrift.Balancer.ScoreWeights;
-import mastdrift.Balancer.DedupScope;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
 import mastdrift.Balancer.Capabilities;
-import mastdrift.Balancer.Limits;
 import mastdrift.Balancer.ConnectionSettings;
-import mastdrift.Balancer.Penalties;
+import mastdrift.Balancer.CpuBudget;
+import mastdrift.Balancer.DedupScope;
+import mastdrift.Balancer.Guarantees;
 import mastdrift.Balancer.Idempotency;
+import mastdrift.Balancer.Limits;
 import mastdrift.Balancer.LoadReportMode;
+import mastdrift.Balancer.Penalties;
 import mastdrift.Balancer.RequestClass;
-import mastdrift.Balancer.Guarantees;
+import mastdrift.Balancer.ScoreWeights;
+import mastdrift.Balancer.Scoring;
 import mastdrift.Balancer.Settings;
-import mastdrift.Balancer.Topology;
 import mastdrift.Balancer.Tenant;
-import mastdrift.Balancer.Scoring;
+import mastdrift.Balancer.Topology;
 import mastdrift.Balancer.WeightMode;
-import java.util.ArrayList;
-import java.util.HashMap;
-import java.util.List;
-import java.util.Map;
 
 /** Parses an instance's settings from pairs of a path and a value, as they stand in the {@code init} line. */
 public final class SettingsParser {
--- a/src/test/java/mastdrift/AdmissionTest.java
+++ b/src/test/java/mastdrift/AdmissionTest.java
@@ -3,9 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import mastdrift.Balancer.Outcome;
 import java.util.ArrayDeque;
 import java.util.Deque;
+import mastdrift.Balancer.Outcome;
 import org.junit.jupiter.api.Test;
 
 /** Which requests are refused in an overload. Latency target 300 ms, deadline 1 s. */
--- a/src/test/java/mastdrift/DrawTest.java
+++ b/src/test/java/mastdrift/DrawTest.java
@@ -3,14 +3,14 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import mastdrift.Balancer.Host;
-import mastdrift.Balancer.ListUpdateType;
-import mastdrift.Balancer.Outcome;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
 import java.util.Map;
 import java.util.stream.Collectors;
+import mastdrift.Balancer.Host;
+import mastdrift.Balancer.ListUpdateType;
+import mastdrift.Balancer.Outcome;
 import org.junit.jupiter.api.Test;
 
 /** The choice of a server by shares and keys. */
--- a/src/test/java/mastdrift/EmbeddingTest.java
+++ b/src/test/java/mastdrift/EmbeddingTest.java
@@ -3,13 +3,13 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import mastdrift.Balancer.Host;
-import mastdrift.Balancer.ListUpdateType;
-import mastdrift.Balancer.Request;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
+import mastdrift.Balancer.Host;
+import mastdrift.Balancer.ListUpdateType;
+import mastdrift.Balancer.Request;
 import org.junit.jupiter.api.Test;
 
 /** The example in README.md that embeds the balancer compiles and runs as it is printed there. */
--- a/src/test/java/mastdrift/FailingServerTest.java
+++ b/src/test/java/mastdrift/FailingServerTest.java
@@ -3,9 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import mastdrift.Balancer.Outcome;
 import java.util.Map;
 import java.util.stream.Collectors;
+import mastdrift.Balancer.Outcome;
 import org.junit.jupiter.api.Test;
 
 /** Which failures exclude a server from the eligible set (S*), and which don't. */
--- a/src/test/java/mastdrift/ModelSizeTest.java
+++ b/src/test/java/mastdrift/ModelSizeTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import mastdrift.Balancer.HostState;
 import mastdrift.Balancer.Host;
+import mastdrift.Balancer.HostState;
 import mastdrift.Balancer.ListUpdateType;
 import mastdrift.Balancer.LoadReport;
 import mastdrift.Balancer.Outcome;
--- a/src/test/java/mastdrift/SilentServerTest.java
+++ b/src/test/java/mastdrift/SilentServerTest.java
@@ -3,10 +3,10 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import mastdrift.Balancer.Outcome;
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.List;
+import mastdrift.Balancer.Outcome;
 import org.junit.jupiter.api.Test;
 
 /** Servers and zones that stop answering. Hosts with an odd number are in zone z1. */
--- a/src/test/java/mastdrift/TenantTest.java
+++ b/src/test/java/mastdrift/TenantTest.java
@@ -2,11 +2,11 @@
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import mastdrift.Balancer.Outcome;
-import mastdrift.Balancer.Tenant;
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.List;
+import mastdrift.Balancer.Outcome;
+import mastdrift.Balancer.Tenant;
 import org.junit.jupiter.api.Test;
 
 /** Fairness between tenants in an overload. Index 0 is the greedy tenant, 1 the quiet one. */
--- a/src/test/java/mastdrift/TestGateway.java
+++ b/src/test/java/mastdrift/TestGateway.java
@@ -1,32 +1,32 @@
 package mastdrift;
 
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import mastdrift.Balancer.Capabilities;
+import mastdrift.Balancer.ConnectionSettings;
 import mastdrift.Balancer.CpuBudget;
-import mastdrift.Balancer.ScoreWeights;
 import mastdrift.Balancer.DedupScope;
-import mastdrift.Balancer.Capabilities;
-import mastdrift.Balancer.HostState;
+import mastdrift.Balancer.Guarantees;
 import mastdrift.Balancer.Host;
+import mastdrift.Balancer.HostState;
+import mastdrift.Balancer.Idempotency;
 import mastdrift.Balancer.Limits;
-import mastdrift.Balancer.ConnectionSettings;
 import mastdrift.Balancer.ListUpdateType;
 import mastdrift.Balancer.LoadReport;
+import mastdrift.Balancer.LoadReportMode;
 import mastdrift.Balancer.Outcome;
 import mastdrift.Balancer.Penalties;
-import mastdrift.Balancer.Idempotency;
-import mastdrift.Balancer.LoadReportMode;
 import mastdrift.Balancer.Request;
 import mastdrift.Balancer.RequestClass;
-import mastdrift.Balancer.Guarantees;
+import mastdrift.Balancer.ScoreWeights;
+import mastdrift.Balancer.Scoring;
 import mastdrift.Balancer.Settings;
-import mastdrift.Balancer.Topology;
 import mastdrift.Balancer.Tenant;
-import mastdrift.Balancer.Scoring;
+import mastdrift.Balancer.Topology;
 import mastdrift.Balancer.WeightMode;
-import java.util.ArrayList;
-import java.util.LinkedHashMap;
-import java.util.List;
-import java.util.Map;
-import java.util.TreeMap;
 
 /** A gateway without network: gives events to one balancer on a simulated clock and records the actions that it asks
     for. Simulates no host and no latency; tests say when attempts end. */
--- a/src/test/java/mastdrift/ThresholdTest.java
+++ b/src/test/java/mastdrift/ThresholdTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import mastdrift.Balancer.Outcome;
 import java.util.Map;
+import mastdrift.Balancer.Outcome;
 import org.junit.jupiter.api.Test;
 
 /** The response time threshold (theta) and the eligible set (S*). */
--- a/src/test/java/mastdrift/net/EndingsTest.java
+++ b/src/test/java/mastdrift/net/EndingsTest.java
@@ -1,14 +1,14 @@
 package mastdrift.net;
 
 import static mastdrift.net.Loopback.SETTINGS;
-import static mastdrift.net.Loopback.response;
 import static mastdrift.net.Loopback.await;
 import static mastdrift.net.Loopback.discoveryServer;
-import static mastdrift.net.Loopback.hostEntry;
 import static mastdrift.net.Loopback.environment;
+import static mastdrift.net.Loopback.hostEntry;
 import static mastdrift.net.Loopback.hostList;
 import static mastdrift.net.Loopback.post;
 import static mastdrift.net.Loopback.read;
+import static mastdrift.net.Loopback.response;
 import static mastdrift.net.Loopback.sendListLine;
 import static mastdrift.net.Loopback.write;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -31,8 +31,8 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
 import mastdrift.net.Loopback.FullBacklogHost;
-import mastdrift.net.Loopback.Message;
 import mastdrift.net.Loopback.GatewayNode;
+import mastdrift.net.Loopback.Message;
 import mastdrift.net.Loopback.Server;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -551,6 +551,6 @@
     }
 
     private static long count(GatewayNode node, GatewayMetrics.Counter count) {
-        return node.server.gateway().tally().count(count);
+        return node.server.gateway().metrics().count(count);
     }
 }
--- a/src/test/java/mastdrift/net/GatewayLifecycleTest.java
+++ b/src/test/java/mastdrift/net/GatewayLifecycleTest.java
@@ -1,15 +1,15 @@
 package mastdrift.net;
 
 import static mastdrift.net.Loopback.SETTINGS;
-import static mastdrift.net.Loopback.response;
 import static mastdrift.net.Loopback.await;
 import static mastdrift.net.Loopback.discoveryServer;
-import static mastdrift.net.Loopback.hostEntry;
 import static mastdrift.net.Loopback.environment;
-import static mastdrift.net.Loopback.hostResponding;
+import static mastdrift.net.Loopback.hostEntry;
 import static mastdrift.net.Loopback.hostList;
+import static mastdrift.net.Loopback.hostResponding;
 import static mastdrift.net.Loopback.post;
 import static mastdrift.net.Loopback.read;
+import static mastdrift.net.Loopback.response;
 import static mastdrift.net.Loopback.sendListLine;
 import static mastdrift.net.Loopback.write;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -40,8 +40,8 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.stream.IntStream;
 import java.util.stream.Stream;
-import mastdrift.net.Loopback.Message;
 import mastdrift.net.Loopback.GatewayNode;
+import mastdrift.net.Loopback.Message;
 import mastdrift.net.Loopback.Server;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
--- a/src/test/java/mastdrift/net/GatewayTest.java
+++ b/src/test/java/mastdrift/net/GatewayTest.java
@@ -196,13 +196,13 @@
     /** Guards against counts that are missing in the log, or are logged twice. */
     @Test
     void logsEachCountOnce() {
-        GatewayMetrics tally = new GatewayMetrics(List.of());
-        tally.increment(GatewayMetrics.Counter.TAKEN);
-        tally.increment(GatewayMetrics.Counter.TAKEN);
-        tally.increment(Balancer.Outcome.SHED);
-        tally.recordPeak(GatewayMetrics.Peak.OPEN_REQUESTS, 2);
-        tally.recordPeak(GatewayMetrics.Peak.OPEN_REQUESTS, 1);
-        assertEquals("counts taken=2; attempts shed=1; most at once open_requests=2", tally.logLine());
-        assertEquals("", tally.logLine());
+        GatewayMetrics metrics = new GatewayMetrics(List.of());
+        metrics.increment(GatewayMetrics.Counter.TAKEN);
+        metrics.increment(GatewayMetrics.Counter.TAKEN);
+        metrics.increment(Balancer.Outcome.SHED);
+        metrics.recordPeak(GatewayMetrics.Peak.OPEN_REQUESTS, 2);
+        metrics.recordPeak(GatewayMetrics.Peak.OPEN_REQUESTS, 1);
+        assertEquals("counts taken=2; attempts shed=1; most at once open_requests=2", metrics.logLine());
+        assertEquals("", metrics.logLine());
     }
 }
--- a/src/test/java/mastdrift/net/HostConnectionPoolTest.java
+++ b/src/test/java/mastdrift/net/HostConnectionPoolTest.java
@@ -1,10 +1,10 @@
 package mastdrift.net;
 
-import static mastdrift.net.Loopback.response;
 import static mastdrift.net.Loopback.await;
 import static mastdrift.net.Loopback.hostEntry;
-import static mastdrift.net.Loopback.hostResponding;
 import static mastdrift.net.Loopback.hostList;
+import static mastdrift.net.Loopback.hostResponding;
+import static mastdrift.net.Loopback.response;
 import static mastdrift.net.Loopback.write;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
--- a/src/test/java/mastdrift/net/LogOutputTest.java
+++ b/src/test/java/mastdrift/net/LogOutputTest.java
@@ -2,10 +2,10 @@
 
 import static mastdrift.net.Loopback.SETTINGS;
 import static mastdrift.net.Loopback.discoveryServer;
-import static mastdrift.net.Loopback.hostEntry;
 import static mastdrift.net.Loopback.environment;
-import static mastdrift.net.Loopback.hostResponding;
+import static mastdrift.net.Loopback.hostEntry;
 import static mastdrift.net.Loopback.hostList;
+import static mastdrift.net.Loopback.hostResponding;
 import static mastdrift.net.Loopback.read;
 import static mastdrift.net.Loopback.write;
 import static org.junit.jupiter.api.Assertions.assertEquals;
--- a/src/test/java/mastdrift/net/Loopback.java
+++ b/src/test/java/mastdrift/net/Loopback.java
@@ -303,7 +303,7 @@
 
         final EventLoop loop = Main.newEventLoop();
         final EventLoop adminLoop = Main.newEventLoop();
-        final Lifecycle life = new Lifecycle();
+        final Lifecycle lifecycle = new Lifecycle();
         final AdminServer admin;
         final ByteArrayOutputStream log = new ByteArrayOutputStream();
         final DownstreamServer server;
@@ -317,13 +317,13 @@
         /** On a listening socket that is inherited; listens itself if it is null. */
         GatewayNode(Map<String, String> environment, ServerSocketChannel inherited) {
             Config config = Config.read(environment);
-            GatewayMetrics tally = config.newMetrics();
-            admin = config.adminAddress() == null ? null : AdminServer.start(config.adminAddress(), adminLoop, life, tally);
+            GatewayMetrics metrics = config.newMetrics();
+            admin = config.adminAddress() == null ? null : AdminServer.start(config.adminAddress(), adminLoop, lifecycle, metrics);
             PrintStream out = new PrintStream(log, true, StandardCharsets.UTF_8);
-            server = Main.createServer(config, loop, () -> System.nanoTime() + clockAdvance.get(), life, tally,
+            server = Main.createServer(config, loop, () -> System.nanoTime() + clockAdvance.get(), lifecycle, metrics,
                     out::println);
             Main.awaitFirstList(server.gateway(), TimeUnit.SECONDS.toMillis(WAIT_SECONDS));
-            Main.listen(server, config, inherited, loop, life, out::println);
+            Main.listen(server, config, inherited, loop, lifecycle, out::println);
         }
 
         /** Advances the gateway's clock; timers that are set already are not affected. */
